--- a/src/batch/shell.rs
+++ b/src/batch/shell.rs
@@ -20,7 +20,7 @@
 use crate::clock::{Clock, Time};
 use crate::edge::body::Guard;
 use crate::edge::count::Count;
-use crate::edge::learn::{News, follow};
+use crate::edge::learn::{Update, follow};
 use crate::event;
 use crate::leave::Phase;
 use crate::member::View;
@@ -153,10 +153,10 @@
         self.setup.clock.now()
     }
 
-    fn learn(self: &Rc<Self>, news: News) {
+    fn learn(self: &Rc<Self>, news: Update) {
         let now = self.now();
         match news {
-            News::Snapshot(snapshot) => {
+            Update::Snapshot(snapshot) => {
                 for row in snapshot.rows {
                     self.learn_row(&row.key.into(), row.version, &row.value);
                 }
@@ -164,8 +164,8 @@
                     .borrow_mut()
                     .heard(now, snapshot.version, snapshot.clock);
             }
-            News::Changes(changes) => self.learn_changes(changes),
-            News::Failed => return,
+            Update::Changes(changes) => self.learn_changes(changes),
+            Update::Failed => return,
         }
         self.changed.notify_waiters();
     }
--- a/src/connect.rs
+++ b/src/connect.rs
@@ -55,7 +55,7 @@
 
 /// What became of an attempt to connect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Listener {
+pub enum Reachability {
     /// Something accepts connections.
     Open,
     /// Nothing does: no process listens there any more.
@@ -65,13 +65,13 @@
 }
 
 /// Looks whether anything listens at `address`, without sending a byte.
-pub async fn probe(address: SocketAddr, limit: Duration) -> Listener {
+pub async fn probe(address: SocketAddr, limit: Duration) -> Reachability {
     match timeout(limit, TcpStream::connect(address)).await {
-        Ok(Ok(_)) => Listener::Open,
-        Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => Listener::Refused,
+        Ok(Ok(_)) => Reachability::Open,
+        Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => Reachability::Refused,
         // The error of an unreachable network, or of no descriptors left, tells nothing
         // of the other side.
-        Ok(Err(_)) | Err(_) => Listener::Silent,
+        Ok(Err(_)) | Err(_) => Reachability::Silent,
     }
 }
 
--- a/src/dispatch/run.rs
+++ b/src/dispatch/run.rs
@@ -78,7 +78,7 @@
         Ok(Err(failure)) => {
             let end = match failure {
                 Failure::Rejected(_) => End::Complete,
-                Failure::Broken(_) | Failure::Unreached(_) => End::Failed,
+                Failure::Broken(_) | Failure::Unreachable(_) => End::Failed,
             };
             (failure.outcome(), end)
         }
--- a/src/edge.rs
+++ b/src/edge.rs
@@ -25,7 +25,7 @@
 use crate::feed::source::{self, Source};
 use crate::leave::Phase;
 use crate::link::Pool;
-use crate::link::server::{Asked, Desk as LinkDesk};
+use crate::link::server::{Desk as LinkDesk, PendingQuery};
 use crate::member::shell::{Counts, Event, Handle, Setup};
 use crate::member::tuning::Tuning;
 use crate::member::{Member, State, View};
@@ -44,15 +44,15 @@
 pub mod body;
 pub mod count;
 pub mod directory;
-mod doubt;
 pub mod front;
+pub mod grace;
+mod keys;
 pub mod learn;
 pub mod node;
 pub mod relay;
 mod reload;
 pub mod roster;
 mod socket;
-pub mod stay;
 
 use count::Count;
 use learn::Learner;
@@ -278,7 +278,7 @@
         shared.source(Rc::clone(&links)),
     );
     let view = Arc::clone(&shared.view);
-    actix_rt::spawn(learn::ask_peers(
+    actix_rt::spawn(learn::poll_peers(
         Rc::clone(&learner),
         shared.me.clone(),
         view,
@@ -309,22 +309,22 @@
     let desk = desk::Desk::new(shared.clock, Client::new(address), TOPICS);
     actix_rt::spawn(answer(asked, Rc::clone(&learner), desk));
     let store = Client::new(address);
-    let roster = Rc::new(roster::Registered::new(store, setup.me.vm()));
+    let roster = Rc::new(roster::Registration::new(store, setup.me.vm()));
     let registering = Rc::clone(&roster);
-    actix_rt::spawn(async move { registering.keep_registering().await });
+    actix_rt::spawn(async move { registering.register_until_stored().await });
     let socket = tokio::net::UdpSocket::from_std(control)?;
     let (members, events) = crate::member::shell::start(setup, socket, roster);
-    actix_rt::spawn(learn::tell(learner, members.clone()));
+    actix_rt::spawn(learn::announce_version(learner, members.clone()));
     Ok((members, events))
 }
 
 /// Answers other nodes' questions.
 async fn answer(
-    mut asked: mpsc::Receiver<Asked>,
+    mut asked: mpsc::Receiver<PendingQuery>,
     learner: Rc<Learner>,
     desk: Rc<desk::Desk<Client>>,
 ) {
-    while let Some(Asked { query, reply }) = asked.recv().await {
+    while let Some(PendingQuery { query, reply }) = asked.recv().await {
         let answer = match query {
             Query::Changes { table, after } => {
                 let desk = Rc::clone(&desk);
@@ -335,7 +335,7 @@
                 });
                 continue;
             }
-            Query::Known { version } => Reply::Known(learner.known(version).map(Box::new)),
+            Query::Known { version } => Reply::Known(learner.export(version).map(Box::new)),
             Query::Report
             | Query::Document
             | Query::Announce { .. }
@@ -414,7 +414,7 @@
             ward,
             jobs: Rc::clone(&jobs),
         });
-        actix_rt::spawn(doubt::watch(Rc::clone(&node)));
+        actix_rt::spawn(keys::watch(Rc::clone(&node)));
         for listener in [self.callers, self.readiness, self.directory] {
             let listener = tokio::net::TcpListener::from_std(listener)?;
             let node = Rc::clone(&node);
@@ -444,8 +444,8 @@
         log::info!("{} node={}", event::NODE_LEAVING, self.site.node);
         self.phase.publish(Phase::Leaving);
         self.members.leave();
-        let end = stay::ending(&self.site.bounds);
-        sleep(stay::serving(&self.site.bounds)).await;
+        let end = grace::exit_time(&self.site.bounds);
+        sleep(grace::drain_time(&self.site.bounds)).await;
         self.phase.publish(Phase::Closing);
         // An error means that nothing listens any more.
         let _ = self.stop.send(true);
--- a/src/edge/count.rs
+++ b/src/edge/count.rs
@@ -115,12 +115,12 @@
     }
 
     /// Counts a run that was lost because its endpoint ended.
-    pub fn blame(&self) {
+    pub fn record_lost_run(&self) {
         self.blamed.inc();
     }
 
     /// Counts a verdict.
-    pub fn condemn(&self) {
+    pub fn record_verdict(&self) {
         self.condemned.inc();
     }
 
--- a/src/edge/front.rs
+++ b/src/edge/front.rs
@@ -23,7 +23,7 @@
 
 use super::body::Body;
 use super::node::Node;
-use super::{directory, relay, stay};
+use super::{directory, grace, relay};
 use crate::batch::read::Reader;
 use crate::catalog::keyring::Organisation;
 use crate::catalog::{Catalog, Kind, Limits, Route};
@@ -210,7 +210,7 @@
 fn ready(node: &Node) -> Response<Bytes> {
     let catalog = node.catalog.read();
     let known = catalog.config.is_some() && !catalog.endpoints.is_empty();
-    if known && !node.is_leaving() && node.is_sure() {
+    if known && !node.is_leaving() && node.accepts_keys() {
         return Response::new(Bytes::new());
     }
     call::error(StatusCode::SERVICE_UNAVAILABLE, "this node is not ready")
@@ -220,7 +220,7 @@
 fn resolve(node: &Node, place: &Place) -> Response<Bytes> {
     let own = node.site.listen.callers.to_string();
     // One that lets no key through only sends callers on.
-    let useless = node.is_leaving() || !node.is_sure();
+    let useless = node.is_leaving() || !node.accepts_keys();
     let without = useless.then_some(&*own);
     let view = node.view.read();
     let mut addresses = directory::addresses(&view, &node.site.zones, place, without);
@@ -228,7 +228,7 @@
         // Better than no answer: it may be of use again in a moment.
         addresses = directory::addresses(&view, &node.site.zones, place, None);
     }
-    call::resolved(&addresses, stay::directory_ttl(&node.site.bounds))
+    call::resolved(&addresses, grace::directory_ttl(&node.site.bounds))
 }
 
 async fn routed(
--- a/src/edge/stay.rs
+++ b/src/edge/grace.rs
@@ -35,11 +35,11 @@
 }
 
 /// How long after its stop began a leaving node still takes requests.
-pub fn serving(bounds: &Bounds) -> Duration {
-    (directory_ttl(bounds) * KEPT_TIMES + NEWS).min(ending(bounds))
+pub fn drain_time(bounds: &Bounds) -> Duration {
+    (directory_ttl(bounds) * KEPT_TIMES + NEWS).min(exit_time(bounds))
 }
 
 /// How long after its stop began a process ends, whatever is still open.
-pub fn ending(bounds: &Bounds) -> Duration {
+pub fn exit_time(bounds: &Bounds) -> Duration {
     bounds.grace.saturating_sub(GRACE_LEFT)
 }
--- a/src/edge/doubt.rs
+++ b/src/edge/keys.rs
@@ -18,7 +18,7 @@
     let mut before = true;
     loop {
         sleep(LOOK).await;
-        let sure = node.is_sure();
+        let sure = node.accepts_keys();
         if sure == before {
             continue;
         }
--- a/src/edge/learn.rs
+++ b/src/edge/learn.rs
@@ -58,7 +58,7 @@
 const STALE_PAUSE: Duration = Duration::from_millis(200);
 
 /// What a feed brings.
-pub enum News {
+pub enum Update {
     /// The whole table.
     Snapshot(Snapshot),
     /// What changed since the last news.
@@ -67,7 +67,7 @@
     Failed,
 }
 
-impl News {
+impl Update {
     /// How long ago the store said so.
     fn age(&self) -> Duration {
         match self {
@@ -92,17 +92,17 @@
 pub async fn follow<F, S>(feed: F, table: &'static str, gap: Duration, mut sink: S)
 where
     F: Feed,
-    S: FnMut(News),
+    S: FnMut(Update),
 {
     let mut known = 0;
     let mut whole = true;
     let mut failures = 0;
     loop {
         let news = if whole {
-            feed.snapshot(table).await.map(News::Snapshot)
+            feed.snapshot(table).await.map(Update::Snapshot)
         } else {
             match feed.changes(table, known, FEED_WAIT).await {
-                Ok(changes) => Ok(News::Changes(changes)),
+                Ok(changes) => Ok(Update::Changes(changes)),
                 Err(Lapse::Fault(fault)) => Err(fault),
                 Err(Lapse::Gone) => {
                     log::info!("{} table={table} gap_after={known}", event::STORE_REGAINED);
@@ -114,9 +114,9 @@
         match news {
             Ok(news) => {
                 let version = match &news {
-                    News::Snapshot(snapshot) => snapshot.version,
-                    News::Changes(changes) => changes.version,
-                    News::Failed => 0,
+                    Update::Snapshot(snapshot) => snapshot.version,
+                    Update::Changes(changes) => changes.version,
+                    Update::Failed => 0,
                 };
                 if version < known {
                     sleep(STALE_PAUSE).await;
@@ -130,7 +130,7 @@
             }
             Err(fault) => {
                 log::debug!("{} table={table} why=\"{fault}\"", event::STORE_LOST);
-                sink(News::Failed);
+                sink(Update::Failed);
                 sleep(pause(&fault, failures)).await;
                 failures += 1;
             }
@@ -150,7 +150,7 @@
 
 /// What one node tells another that can't reach the store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Known {
+pub struct PeerUpdate {
     /// True while the store answers the one who tells.
     pub fresh: bool,
     /// The configuration; none when the asker has it or none is known.
@@ -204,21 +204,21 @@
     }
 
     /// Takes news of the configuration's table.
-    pub fn config(&self, news: News) {
+    pub fn config(&self, news: Update) {
         let said = self.clock.now() - news.age();
         let asked = news.asked();
         let rows: Vec<(String, bytes::Bytes)> = match news {
-            News::Snapshot(snapshot) => snapshot
+            Update::Snapshot(snapshot) => snapshot
                 .rows
                 .into_iter()
                 .map(|row| (row.key, row.value))
                 .collect(),
-            News::Changes(changes) => changes
+            Update::Changes(changes) => changes
                 .changes
                 .into_iter()
                 .filter_map(|change| Some((change.key, change.value?)))
                 .collect(),
-            News::Failed => return,
+            Update::Failed => return,
         };
         self.state.borrow_mut().config_heard = said;
         let mut unread = self.state.borrow().unread;
@@ -263,17 +263,17 @@
     }
 
     /// Takes news of the endpoints' table.
-    pub fn endpoints(&self, news: News) {
+    pub fn endpoints(&self, news: Update) {
         let now = self.clock.now();
         let said = now - news.age();
         let mut state = self.state.borrow_mut();
         match news {
-            News::Snapshot(snapshot) => {
+            Update::Snapshot(snapshot) => {
                 let (entries, others) = readable(snapshot.rows.iter().map(endpoint::from_row));
                 state.book.replace(now, entries, snapshot.version);
                 refuse(&mut state.book, &others);
             }
-            News::Changes(changes) => {
+            Update::Changes(changes) => {
                 if let Some(ago) = changes.failed_ago {
                     state.book.store_failed(now - ago);
                 }
@@ -292,7 +292,7 @@
                     state.book.apply(now, entry);
                 }
             }
-            News::Failed => {
+            Update::Failed => {
                 state.book.store_failed(now);
                 return;
             }
@@ -325,7 +325,7 @@
     /// What this node can tell another one that has the configuration
     /// `version`. While the store does not answer this node either, only a node
     /// that knows nothing, such as a restarted one, can learn from it.
-    pub fn known(&self, version: u64) -> Option<Known> {
+    pub fn export(&self, version: u64) -> Option<PeerUpdate> {
         let now = self.clock.now();
         let state = self.state.borrow();
         let fresh = now.since(state.endpoints_heard) <= PEER_AFTER;
@@ -341,7 +341,7 @@
             .into_iter()
             .map(|entry| (entry.id, entry.version, entry.endpoint))
             .collect();
-        Some(Known {
+        Some(PeerUpdate {
             fresh,
             config,
             vouched_ago,
@@ -350,7 +350,7 @@
     }
 
     /// Takes what another node knows, which was asked at `sent`.
-    pub fn learn(&self, sent: Uptime, known: Known) {
+    pub fn import(&self, sent: Uptime, known: PeerUpdate) {
         if let Some(config) = known.config {
             self.adopt(config, "peer");
         }
@@ -440,7 +440,7 @@
 
 /// Asks other nodes while the store does not answer this one, so that a part of
 /// the nodes that is turned away still follows configuration and endpoints.
-pub async fn ask_peers(learner: Rc<Learner>, me: Name, view: Arc<Cell<View>>, links: Rc<Pool>) {
+pub async fn poll_peers(learner: Rc<Learner>, me: Name, view: Arc<Cell<View>>, links: Rc<Pool>) {
     loop {
         sleep(PEER_EVERY).await;
         if !learner.is_cut_off() {
@@ -452,21 +452,21 @@
             let links = others.map(|member| member.link.clone());
             links.choose_multiple(&mut rand::rng(), PEERS)
         };
-        join_all(peers.iter().map(|peer| ask_peer(&learner, peer, &links))).await;
+        join_all(peers.iter().map(|peer| poll_peer(&learner, peer, &links))).await;
     }
 }
 
-async fn ask_peer(learner: &Learner, peer: &Name, links: &Rc<Pool>) {
+async fn poll_peer(learner: &Learner, peer: &Name, links: &Rc<Pool>) {
     let version = learner.config_version();
     let sent = Uptime::now();
     let query = Query::Known { version };
     if let Some(Reply::Known(Some(known))) = links.ask(peer, query, PEER_TIMEOUT).await {
-        learner.learn(sent, *known);
+        learner.import(sent, *known);
     }
 }
 
 /// Tells the members which configuration this node has.
-pub async fn tell(learner: Rc<Learner>, members: Handle) {
+pub async fn announce_version(learner: Rc<Learner>, members: Handle) {
     let mut told = 0;
     loop {
         sleep(PEER_EVERY).await;
--- a/src/edge/node.rs
+++ b/src/edge/node.rs
@@ -43,7 +43,7 @@
 impl Node {
     /// True while this node may let keys through: in time, it would have heard of
     /// a revocation.
-    pub fn is_sure(&self) -> bool {
+    pub fn accepts_keys(&self) -> bool {
         let catalog = self.catalog.read();
         let keyed = catalog
             .config
--- a/src/edge/roster.rs
+++ b/src/edge/roster.rs
@@ -40,14 +40,14 @@
 }
 
 /// This node's row, and its list of all rows.
-pub struct Registered<S> {
+pub struct Registration<S> {
     store: S,
     me: Vm,
     done: Cell<bool>,
     known: RefCell<Option<Known>>,
 }
 
-impl<S> Registered<S>
+impl<S> Registration<S>
 where
     S: Table + Feed,
 {
@@ -62,7 +62,7 @@
     }
 
     /// Registers until the store has the row.
-    pub async fn keep_registering(&self) {
+    pub async fn register_until_stored(&self) {
         while !self.done.get() {
             sleep(REGISTER_AGAIN.mul_f64(1.0 + rand::random::<f64>())).await;
             if let Err(fault) = self.register().await {
@@ -113,7 +113,7 @@
     }
 }
 
-impl<S> Roster for Rc<Registered<S>>
+impl<S> Roster for Rc<Registration<S>>
 where
     S: Table + Feed,
 {
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Failure {
     /// No connection could be made, so no byte has reached the endpoint.
-    Unreached(String),
+    Unreachable(String),
     /// It failed after bytes may have reached the endpoint.
     Broken(String),
     /// The endpoint says that this request can never be done.
@@ -51,7 +51,7 @@
     /// Sorts an error of the HTTP client by whether bytes may have been sent.
     pub fn of_send(error: &SendRequestError) -> Self {
         if http::was_unsent(error) {
-            Self::Unreached(error.to_string())
+            Self::Unreachable(error.to_string())
         } else {
             Self::Broken(error.to_string())
         }
@@ -60,7 +60,7 @@
     /// What may be told of the request.
     pub fn outcome(self) -> Outcome<Answer> {
         match self {
-            Self::Unreached(what) => {
+            Self::Unreachable(what) => {
                 Outcome::NotRun(Refusal::new(Reason::NoEndpoint).after(RETRY_AFTER).because(
                     format!("the endpoint can't be reached ({what}); come back later"),
                 ))
@@ -82,7 +82,7 @@
 impl fmt::Display for Failure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Unreached(what) => write!(f, "unreached: {what}"),
+            Self::Unreachable(what) => write!(f, "unreached: {what}"),
             Self::Broken(what) => write!(f, "broken: {what}"),
             Self::Rejected(what) => write!(f, "rejected: {what}"),
         }
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -99,7 +99,7 @@
 
 /// What an organisation asks of one traffic thread.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Wish {
+pub struct DemandReport {
     /// The traffic thread.
     pub thread: usize,
     /// The organisation.
@@ -154,12 +154,12 @@
 
     /// Follows members and configuration, and sends what organisations ask of
     /// this thread to the control thread, for as long as the thread lives.
-    pub async fn follow(self: Rc<Self>, threads: usize, wishes: mpsc::Sender<Wish>) {
+    pub async fn follow(self: Rc<Self>, threads: usize, demands: mpsc::Sender<DemandReport>) {
         loop {
             if let Ok(config) = self.shared.config() {
                 self.take_config(&config);
             }
-            self.send_wishes(threads, &wishes);
+            self.send_demands(threads, &demands);
             for (endpoint, cause) in self.router.borrow_mut().ejections() {
                 log::warn!(
                     "{} endpoint={endpoint} cause={cause:?}",
@@ -171,7 +171,7 @@
     }
 
     /// Tells the control thread what organisations ask of this thread.
-    fn send_wishes(&self, threads: usize, wishes: &mpsc::Sender<Wish>) {
+    fn send_demands(&self, threads: usize, demands: &mpsc::Sender<DemandReport>) {
         let nodes = self.shared.view.read().usable().count() * threads;
         let now = self.shared.clock.now();
         let mut limiter = self.limiter.borrow_mut();
@@ -179,7 +179,7 @@
         for (organisation, demand) in limiter.reports(now) {
             let thread = self.thread;
             // A lost report is made good by the next one.
-            let _ = wishes.try_send(Wish {
+            let _ = demands.try_send(DemandReport {
                 thread,
                 organisation,
                 demand,
--- a/src/link.rs
+++ b/src/link.rs
@@ -235,6 +235,6 @@
     WebSocketConfig::default()
         .read_buffer_size(BUFFER)
         .write_buffer_size(BUFFER)
-        .max_message_size(Some(wire::MAX_FRAME))
-        .max_frame_size(Some(wire::MAX_FRAME))
+        .max_message_size(Some(wire::MAX_FRAME_BYTES))
+        .max_frame_size(Some(wire::MAX_FRAME_BYTES))
 }
--- a/src/link/server.rs
+++ b/src/link/server.rs
@@ -39,7 +39,7 @@
 
 /// A question for the control thread.
 #[derive(Debug)]
-pub struct Asked {
+pub struct PendingQuery {
     /// The question.
     pub query: Query,
     /// Where the answer goes.
@@ -54,7 +54,7 @@
     /// The dispatchers of this node.
     pub handle: Handle,
     /// The control thread.
-    pub queries: mpsc::Sender<Asked>,
+    pub queries: mpsc::Sender<PendingQuery>,
 }
 
 /// Accepts connections of other nodes for as long as the thread lives.
@@ -180,9 +180,14 @@
 }
 
 /// Lets the control thread answer a question.
-async fn ask(id: u64, query: Query, queries: mpsc::Sender<Asked>, frames: mpsc::Sender<Frame>) {
+async fn ask(
+    id: u64,
+    query: Query,
+    queries: mpsc::Sender<PendingQuery>,
+    frames: mpsc::Sender<Frame>,
+) {
     let (reply, answer) = oneshot::channel();
-    let reply = match queries.try_send(Asked { query, reply }) {
+    let reply = match queries.try_send(PendingQuery { query, reply }) {
         Err(_) => Reply::Busy,
         Ok(()) => match timeout(ANSWER_TIMEOUT, answer).await {
             Ok(Ok(reply)) => reply,
--- a/src/member/gossip.rs
+++ b/src/member/gossip.rs
@@ -17,7 +17,7 @@
 use crate::clock::Time;
 use crate::name::Name;
 use crate::table::Vm;
-use crate::wire::control::{Body, Frame, HEAD_ROOM, Head, MAX_DATAGRAM, Note, Update};
+use crate::wire::control::{Body, Frame, Head, MAX_DATAGRAM_BYTES, MAX_HEAD_BYTES, Note, Update};
 
 mod learn;
 mod receive;
@@ -284,7 +284,9 @@
     fn send(&mut self, to: SocketAddr, body: Body, first: Vec<Update>, actions: &mut Vec<Action>) {
         let taken: usize = first.iter().map(Update::size).sum();
         let budget = usize::try_from(self.budget).unwrap_or(usize::MAX);
-        let room = (MAX_DATAGRAM - HEAD_ROOM).saturating_sub(taken).min(budget);
+        let room = (MAX_DATAGRAM_BYTES - MAX_HEAD_BYTES)
+            .saturating_sub(taken)
+            .min(budget);
         let limit = self.tuning.sends(self.living());
         let mut updates = first;
         if matches!(body, Body::Ping { .. } | Body::Ack { .. } | Body::Gossip) {
--- a/src/member/gossip/learn.rs
+++ b/src/member/gossip/learn.rs
@@ -7,7 +7,7 @@
 use crate::member::State;
 use crate::member::record::Record;
 use crate::name::Name;
-use crate::wire::control::{MAX_VALUE, Note, PRINT, Update};
+use crate::wire::control::{FINGERPRINT_BYTES, MAX_VALUE_BYTES, Note, Update};
 
 /// Incarnations above this can't have been reached by counting. Taking one for
 /// true would leave its owner without a higher one to object with.
@@ -183,7 +183,7 @@
 
     /// Takes the version that several members have in force.
     pub(super) fn learn_prints(&mut self, version: u64, prints: &[u8], actions: &mut Vec<Action>) {
-        for print in prints.chunks_exact(PRINT) {
+        for print in prints.chunks_exact(FINGERPRINT_BYTES) {
             let print = print
                 .iter()
                 .fold(0, |sum, byte| sum << 8 | u64::from(*byte));
@@ -213,7 +213,7 @@
         let key = (note.topic, note.key.clone());
         let known = self.notes.get(&key).map_or(0, |(version, _)| *version);
         let full = self.notes.len() >= MAX_NOTES && !self.notes.contains_key(&key);
-        if note.version <= known || full || note.value.len() > MAX_VALUE {
+        if note.version <= known || full || note.value.len() > MAX_VALUE_BYTES {
             return false;
         }
         self.notes.insert(key, (note.version, now));
--- a/src/member/gossip/schedule.rs
+++ b/src/member/gossip/schedule.rs
@@ -9,7 +9,7 @@
 use crate::member::State;
 use crate::member::tuning::Tuning;
 use crate::name::Name;
-use crate::wire::control::{Body, MAX_VALUE, Update};
+use crate::wire::control::{Body, MAX_VALUE_BYTES, Update};
 
 impl Gossip {
     /// Deals with a pause of this very process.
@@ -172,7 +172,7 @@
         let address = known.map(|entry| entry.control);
         let size = value.len() as u64 + HEAD;
         match address {
-            Some(address) if value.len() <= MAX_VALUE && size <= self.direct_budget => {
+            Some(address) if value.len() <= MAX_VALUE_BYTES && size <= self.direct_budget => {
                 self.direct_budget -= size;
                 let body = Body::Direct { topic, value };
                 actions.push(self.action(address, body, Vec::new()));
--- a/src/member/gossip/sync.rs
+++ b/src/member/gossip/sync.rs
@@ -15,7 +15,7 @@
 use crate::member::State;
 use crate::member::record::Record;
 use crate::table::Vm;
-use crate::wire::control::{Body, HEAD_ROOM, MAX_DATAGRAM, Update};
+use crate::wire::control::{Body, MAX_DATAGRAM_BYTES, MAX_HEAD_BYTES, Update};
 
 /// Members are compared in this many buckets, so that one that differs costs
 /// the sending of a few and not of all.
@@ -186,7 +186,7 @@
         let mut updates = Vec::new();
         let mut size = 0;
         for update in records.into_iter().map(|(_, r)| Update::Record(r)) {
-            if size + update.size() > MAX_DATAGRAM - HEAD_ROOM {
+            if size + update.size() > MAX_DATAGRAM_BYTES - MAX_HEAD_BYTES {
                 self.post(to, Body::Table, std::mem::take(&mut updates), actions);
                 size = 0;
             }
--- a/src/member/shell.rs
+++ b/src/member/shell.rs
@@ -22,7 +22,7 @@
 use crate::name::Name;
 use crate::snapshot::Cell;
 use crate::table::{Roster, Vm};
-use crate::wire::control::{Error, Frame, MAX_DATAGRAM, Note, decode, encode};
+use crate::wire::control::{Error, Frame, MAX_DATAGRAM_BYTES, Note, decode, encode};
 
 /// How often the platform's list is read. With 330 nodes of some 250 bytes each
 /// that is 1.4 KB a second of the 13 that a node may spend on control.
@@ -111,7 +111,7 @@
     }
 
     /// Sends one member a message of at most
-    /// [`MAX_VALUE`](crate::wire::control::MAX_VALUE) bytes; it may get lost.
+    /// [`MAX_VALUE_BYTES`](crate::wire::control::MAX_VALUE_BYTES) bytes; it may get lost.
     pub fn direct(&self, to: Name, topic: u8, value: Bytes) {
         self.tell(Command::Direct { to, topic, value });
     }
@@ -305,7 +305,7 @@
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     // One byte more than allowed, to tell a datagram that is too long from one
     // that just fits.
-    let mut buffer = vec![0_u8; MAX_DATAGRAM + 1];
+    let mut buffer = vec![0_u8; MAX_DATAGRAM_BYTES + 1];
     loop {
         let input = tokio::select! {
             got = shell.socket.recv_from(&mut buffer) => match shell.read(got, &buffer) {
--- a/src/node.rs
+++ b/src/node.rs
@@ -190,7 +190,7 @@
     let (callers_stop, callers_stopped) = watch::channel(false);
     let (drain, drained) = watch::channel(false);
     let (queries_in, queries) = mpsc::channel(WAITING);
-    let (wishes_in, wishes) = mpsc::channel(WAITING);
+    let (demands_in, demands) = mpsc::channel(WAITING);
     let (remote, inbox) = remote::channel();
     let (cut_off, cut) = watch::channel(false);
     let mut arbiters = Vec::new();
@@ -204,7 +204,7 @@
             shared: shared.clone(),
             desk,
             queries: queries_in.clone(),
-            wishes: wishes_in.clone(),
+            demands: demands_in.clone(),
             grants,
             control: remote.clone(),
             callers: sockets.callers.try_clone()?,
@@ -238,7 +238,7 @@
         client: Client::new(settings.platform.address, PLATFORM_TIMEOUT),
         shared: shared.clone(),
         queries,
-        wishes,
+        demands,
         grants: grants_in,
         runner: batch.handle,
         drain,
--- a/src/node/control.rs
+++ b/src/node/control.rs
@@ -15,11 +15,11 @@
 use crate::config::watch::Watch;
 use crate::dispatch::Load;
 use crate::dispatch::board::Loads;
-use crate::gateway::{Shared, Wish};
+use crate::gateway::{DemandReport, Shared};
 use crate::job::runner;
 use crate::limit::Grant;
 use crate::link::Pool;
-use crate::link::server::Asked;
+use crate::link::server::PendingQuery;
 use crate::member::shell::{self, Event, Handle, Setup};
 use crate::name::Name;
 use crate::placement;
@@ -50,9 +50,9 @@
     /// The platform.
     pub client: Client,
     /// Questions of other nodes' control threads.
-    pub queries: mpsc::Receiver<Asked>,
+    pub queries: mpsc::Receiver<PendingQuery>,
     /// What gateways ask for organisations.
-    pub wishes: mpsc::Receiver<Wish>,
+    pub demands: mpsc::Receiver<DemandReport>,
     /// Where grants go, one for each traffic thread.
     pub grants: Vec<mpsc::Sender<(Name, Grant)>>,
     /// The batch thread.
@@ -121,7 +121,7 @@
     });
     actix_rt::spawn(watch.run());
     start_placement(&control.shared, start.boot, &placement);
-    actix_rt::spawn(shares::serve(Rc::clone(&limits), start.wishes));
+    actix_rt::spawn(shares::serve(Rc::clone(&limits), start.demands));
     actix_rt::spawn(Rc::clone(&control).listen(events, limits));
     actix_rt::spawn(Rc::clone(&control).answer(start.queries));
     actix_rt::spawn(Rc::clone(&control).tell_version());
@@ -182,7 +182,7 @@
 
     /// Tells every runner that a job was cancelled, so that they stop before
     /// they look at its row.
-    pub fn spread_cancel(&self, id: &crate::job::Id) {
+    pub fn broadcast_cancel(&self, id: &crate::job::Id) {
         self.runner.tell(runner::Input::Cancelled(id.clone()));
         self.members.note(Note {
             topic: CANCELLED,
@@ -193,7 +193,7 @@
     }
 
     /// Answers other nodes' control threads.
-    async fn answer(self: Rc<Self>, mut queries: mpsc::Receiver<Asked>) {
+    async fn answer(self: Rc<Self>, mut queries: mpsc::Receiver<PendingQuery>) {
         while let Some(asked) = queries.recv().await {
             let reply = match asked.query {
                 Query::Report => Reply::Report(self.watch.report()),
--- a/src/node/shares.rs
+++ b/src/node/shares.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::mpsc;
 
-use crate::gateway::{Shared, Wish};
+use crate::gateway::{DemandReport, Shared};
 use crate::limit::{self, Bound, Demand, Grant, Owner};
 use crate::member::shell::Handle;
 use crate::name::Name;
@@ -57,7 +57,7 @@
     }
 
     /// A gateway of this node reports.
-    pub fn wish(&self, wish: Wish) {
+    pub fn wish(&self, wish: DemandReport) {
         let owner = {
             let view = self.shared.view.read();
             limit::owner(&view, &wish.organisation).map(|member| member.name.clone())
@@ -143,8 +143,8 @@
 }
 
 /// Serves the reports of this node's gateways.
-pub async fn serve(shares: Rc<Shares>, mut wishes: mpsc::Receiver<Wish>) {
-    while let Some(wish) = wishes.recv().await {
+pub async fn serve(shares: Rc<Shares>, mut demands: mpsc::Receiver<DemandReport>) {
+    while let Some(wish) = demands.recv().await {
         shares.wish(wish);
     }
 }
--- a/src/node/traffic.rs
+++ b/src/node/traffic.rs
@@ -12,9 +12,9 @@
 use crate::dispatch::handle::Desk;
 use crate::dispatch::shell::Shell;
 use crate::event;
-use crate::gateway::{Gateway, Shared, Wish};
+use crate::gateway::{DemandReport, Gateway, Shared};
 use crate::limit::Grant;
-use crate::link::server::Asked;
+use crate::link::server::PendingQuery;
 use crate::name::Name;
 use crate::node::PLATFORM_TIMEOUT;
 use crate::rpc::server::Server;
@@ -30,9 +30,9 @@
     /// How many there are.
     pub threads: usize,
     /// Questions of other nodes go there.
-    pub queries: mpsc::Sender<Asked>,
+    pub queries: mpsc::Sender<PendingQuery>,
     /// What this thread's organisations ask goes there.
-    pub wishes: mpsc::Sender<Wish>,
+    pub demands: mpsc::Sender<DemandReport>,
     /// What they are granted comes from there.
     pub grants: mpsc::Receiver<(Name, Grant)>,
     /// The way to the control thread, for operators.
@@ -69,7 +69,7 @@
         });
         let platform = Client::new(self.platform, PLATFORM_TIMEOUT);
         let gateway = Gateway::new(self.shared.clone(), self.number, platform.clone(), self.cut);
-        actix_rt::spawn(Rc::clone(&gateway).follow(self.threads, self.wishes));
+        actix_rt::spawn(Rc::clone(&gateway).follow(self.threads, self.demands));
         actix_rt::spawn(Rc::clone(&gateway).take_grants(self.grants));
         let server = Server::new(self.shared, gateway, platform, self.control);
         let serving = http::serve(self.callers, self.stopped, move |request| {
--- a/src/quarantine/loss.rs
+++ b/src/quarantine/loss.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::catalog::{Catalog, Endpoint};
-use crate::connect::{self, Listener};
+use crate::connect::{self, Reachability};
 
 /// Most time for a connection that only tells whether something listens.
 const PROBE: Duration = Duration::from_millis(60);
@@ -43,29 +43,29 @@
 }
 
 /// Looks whether anything listens where the endpoint was.
-pub async fn probe(endpoint: &Endpoint) -> Listener {
+pub async fn probe(endpoint: &Endpoint) -> Reachability {
     connect::probe(endpoint.address, PROBE).await
 }
 
 /// What the entry and the listener say just after a run was lost. An endpoint that
 /// leaves, or had left, breaks off what it has not ended by then; a lost answer, a
 /// reset or cut path and a spoiled answer leave the process where it is.
-pub fn judge(entry: Entry, listener: Listener) -> Finding {
+pub fn judge(entry: Entry, listener: Reachability) -> Finding {
     match (entry, listener) {
-        (Entry::Replaced, _) | (Entry::Ready, Listener::Refused) => Finding::Crashed,
-        (Entry::Ready, Listener::Open | Listener::Silent) => Finding::Open,
+        (Entry::Replaced, _) | (Entry::Ready, Reachability::Refused) => Finding::Crashed,
+        (Entry::Ready, Reachability::Open | Reachability::Silent) => Finding::Open,
         (Entry::Draining | Entry::Gone, _) => Finding::Innocent,
     }
 }
 
 /// The same while it is watched further. An endpoint that leaves without saying so
 /// serves on when its entry has gone.
-pub fn judge_later(entry: Entry, listener: Listener) -> Finding {
+pub fn judge_later(entry: Entry, listener: Reachability) -> Finding {
     match (entry, listener) {
-        (Entry::Replaced, _) | (Entry::Gone, Listener::Refused | Listener::Silent) => {
+        (Entry::Replaced, _) | (Entry::Gone, Reachability::Refused | Reachability::Silent) => {
             Finding::Crashed
         }
         (Entry::Ready, _) => Finding::Open,
-        (Entry::Draining, _) | (Entry::Gone, Listener::Open) => Finding::Innocent,
+        (Entry::Draining, _) | (Entry::Gone, Reachability::Open) => Finding::Innocent,
     }
 }
--- a/src/quarantine/ward.rs
+++ b/src/quarantine/ward.rs
@@ -16,9 +16,9 @@
 use super::record::{self, Observation, Row};
 use crate::catalog::{Catalog, Endpoint};
 use crate::clock::{Clock, Time, unix_millis};
-use crate::connect::Listener;
+use crate::connect::Reachability;
 use crate::edge::count::Count;
-use crate::edge::learn::{News, follow};
+use crate::edge::learn::{Update, follow};
 use crate::event;
 use crate::member::View;
 use crate::name::Name;
@@ -136,7 +136,7 @@
     pub async fn lost(self: &Rc<Self>, endpoint: &Arc<Endpoint>, run: Run<'_>) -> Finding {
         let entry = loss::entry(&self.setup.catalog.read(), endpoint);
         let mut listener = loss::probe(endpoint).await;
-        if listener == Listener::Open {
+        if listener == Reachability::Open {
             sleep(CLOSING).await;
             listener = loss::probe(endpoint).await;
         }
@@ -183,7 +183,7 @@
             let entry = loss::entry(&self.setup.catalog.read(), endpoint);
             let listener = match entry {
                 loss::Entry::Gone => loss::probe(endpoint).await,
-                _ => Listener::Open,
+                _ => Reachability::Open,
             };
             let finding = loss::judge_later(entry, listener);
             if finding != Finding::Open {
@@ -203,7 +203,7 @@
         match evidence.add(now, crash.clone(), request, moment) {
             Added::New => {
                 evidence.weigh(now);
-                self.setup.count.blame();
+                self.setup.count.record_lost_run();
                 self.tell(&Observation::Crashed(request, crash, moment), 1);
             }
             Added::Nothing | Added::Refuted(_) => {}
@@ -287,7 +287,7 @@
                 conviction.term.as_secs(),
                 endpoints.join(","),
             );
-            self.setup.count.condemn();
+            self.setup.count.record_verdict();
             let request = conviction.request;
             let unsaved = Unsaved {
                 reached: now,
@@ -356,20 +356,20 @@
     }
 
     /// Takes the store's verdicts.
-    fn learn(&self, news: News) {
+    fn learn(&self, news: Update) {
         let (rows, clock, said) = match news {
-            News::Snapshot(snapshot) => {
+            Update::Snapshot(snapshot) => {
                 self.rows.borrow_mut().clear();
                 let rows = snapshot.rows.into_iter();
                 let rows: Vec<_> = rows.map(|row| (row.key, Some(row.value))).collect();
                 (rows, snapshot.clock, self.now())
             }
-            News::Changes(changes) => {
+            Update::Changes(changes) => {
                 let rows = changes.changes.into_iter();
                 let rows: Vec<_> = rows.map(|row| (row.key, row.value)).collect();
                 (rows, changes.clock, self.now() - changes.age)
             }
-            News::Failed => return,
+            Update::Failed => return,
         };
         self.store_clock.set(Some((said, clock)));
         for (key, value) in rows {
--- a/src/rpc/server.rs
+++ b/src/rpc/server.rs
@@ -296,7 +296,7 @@
             Ok(id) => {
                 let cancelled = self.jobs.cancel(&id).await;
                 if matches!(cancelled, Outcome::Done(_)) {
-                    self.tell(move |control| control.spread_cancel(&id));
+                    self.tell(move |control| control.broadcast_cancel(&id));
                 }
                 cancelled.map(|state| v1::CancelJobResponse {
                     state: job::state(state).into(),
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -16,12 +16,12 @@
 /// Version of the protocol; nodes of different versions refuse each other.
 pub const VERSION: u16 = 1;
 /// Largest frame that is sent or accepted, in bytes.
-pub const MAX_FRAME: usize = 4 * 1024 * 1024;
+pub const MAX_FRAME_BYTES: usize = 4 * 1024 * 1024;
 
 /// Why a frame can't be read or written.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Error {
-    /// Longer than [`MAX_FRAME`].
+    /// Longer than [`MAX_FRAME_BYTES`].
     TooLong(usize),
     /// Truncated, or not a frame of a known kind.
     Malformed(String),
@@ -30,7 +30,7 @@
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::TooLong(len) => write!(f, "a frame of {len} bytes is above {MAX_FRAME}"),
+            Self::TooLong(len) => write!(f, "a frame of {len} bytes is above {MAX_FRAME_BYTES}"),
             Self::Malformed(what) => write!(f, "a frame can't be read: {what}"),
         }
     }
@@ -48,7 +48,7 @@
 {
     let mut bytes = Vec::with_capacity(256);
     ciborium::into_writer(frame, &mut bytes).map_err(|e| Error::Malformed(e.to_string()))?;
-    if bytes.len() > MAX_FRAME {
+    if bytes.len() > MAX_FRAME_BYTES {
         return Err(Error::TooLong(bytes.len()));
     }
     Ok(bytes)
@@ -63,7 +63,7 @@
 where
     F: DeserializeOwned,
 {
-    if bytes.len() > MAX_FRAME {
+    if bytes.len() > MAX_FRAME_BYTES {
         return Err(Error::TooLong(bytes.len()));
     }
     let mut rest = bytes;
--- a/src/wire/control.rs
+++ b/src/wire/control.rs
@@ -13,17 +13,17 @@
 
 /// Largest datagram in bytes, below the smallest usual path limit, so that
 /// none is ever split on the way.
-pub const MAX_DATAGRAM: usize = 1_200;
+pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 /// Bytes of a member's print.
-pub const PRINT: usize = 8;
+pub const FINGERPRINT_BYTES: usize = 8;
 /// Largest value of a note or a direct message, in bytes.
-pub const MAX_VALUE: usize = 512;
+pub const MAX_VALUE_BYTES: usize = 512;
 /// So many news items at once are a special event; see [`Update::sends`].
 const MANY: usize = 24;
 /// First byte of every datagram.
 const VERSION: u8 = 1;
 /// Room that a head and any body take at most, with the longest names.
-pub const HEAD_ROOM: usize = 400;
+pub const MAX_HEAD_BYTES: usize = 400;
 
 /// A datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -113,7 +113,7 @@
     Direct {
         /// What it is about; the services that use it share out the numbers.
         topic: u8,
-        /// At most [`MAX_VALUE`] bytes.
+        /// At most [`MAX_VALUE_BYTES`] bytes.
         value: Bytes,
     },
 }
@@ -126,7 +126,7 @@
     Record(Record),
     /// Members have a configuration version in force. After a change every
     /// member says so at about the same time, so they are named by
-    /// [`Record::print`], [`PRINT`] bytes each, and told together.
+    /// [`Record::print`], [`FINGERPRINT_BYTES`] bytes each, and told together.
     #[serde(rename = "v")]
     InForce {
         /// The version.
@@ -156,7 +156,7 @@
     /// Rises with each note of that key.
     #[serde(rename = "s")]
     pub version: u64,
-    /// At most [`MAX_VALUE`] bytes.
+    /// At most [`MAX_VALUE_BYTES`] bytes.
     #[serde(rename = "v")]
     pub value: Bytes,
 }
@@ -189,7 +189,7 @@
 /// Why a datagram was dropped. Each has a counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Error {
-    /// Longer than [`MAX_DATAGRAM`].
+    /// Longer than [`MAX_DATAGRAM_BYTES`].
     TooLong,
     /// Of another version of the protocol.
     Version,
@@ -212,12 +212,12 @@
 /// Writes a datagram.
 ///
 /// # Errors
-/// [`Error::TooLong`] when it is above [`MAX_DATAGRAM`].
+/// [`Error::TooLong`] when it is above [`MAX_DATAGRAM_BYTES`].
 pub fn encode(frame: &Frame) -> Result<Vec<u8>, Error> {
     let mut bytes = Vec::with_capacity(256);
     bytes.push(VERSION);
     ciborium::into_writer(frame, &mut bytes).map_err(|_| Error::Malformed)?;
-    if bytes.len() > MAX_DATAGRAM {
+    if bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(Error::TooLong);
     }
     Ok(bytes)
@@ -228,7 +228,7 @@
 /// # Errors
 /// Says which [`Error`] to count; nothing else is to be done about it.
 pub fn decode(bytes: &[u8]) -> Result<Frame, Error> {
-    if bytes.len() > MAX_DATAGRAM {
+    if bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(Error::TooLong);
     }
     let (&version, mut rest) = bytes.split_first().ok_or(Error::Malformed)?;
--- a/src/wire/query.rs
+++ b/src/wire/query.rs
@@ -10,7 +10,7 @@
 use crate::config::Document;
 use crate::config::follow::Report;
 use crate::dispatch::Load;
-use crate::edge::learn::Known;
+use crate::edge::learn::PeerUpdate;
 use crate::feed::Told;
 use crate::name::Name;
 
@@ -61,7 +61,7 @@
         in_flight: u32,
     },
     /// To [`Query::Known`]; none when the store does not answer this node either.
-    Known(Option<Box<Known>>),
+    Known(Option<Box<PeerUpdate>>),
     /// To [`Query::Changes`].
     Changes(Told),
     /// The node can't answer now.
--- a/standin/tests/store_client.rs
+++ b/standin/tests/store_client.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use auburnspoke::edge::roster::Registered;
+use auburnspoke::edge::roster::Registration;
 use auburnspoke::platform::store::Client;
 use auburnspoke::table::{Feed as _, Roster as _, Table as _, Transaction, Vm};
 use googletest::prelude::*;
@@ -32,8 +32,8 @@
     }
 }
 
-fn registered(client: &Client, at: usize) -> Rc<Registered<Client>> {
-    Rc::new(Registered::new(client.clone(), vm(at)))
+fn registered(client: &Client, at: usize) -> Rc<Registration<Client>> {
+    Rc::new(Registration::new(client.clone(), vm(at)))
 }
 
 #[gtest]
@@ -118,7 +118,7 @@
         let me = registered(&client, 2);
         expect_that!(me.list().await.unwrap().len(), eq(1));
         let registering = Rc::clone(&me);
-        let task = actix_rt::spawn(async move { registering.keep_registering().await });
+        let task = actix_rt::spawn(async move { registering.register_until_stored().await });
         store.treatment.borrow_mut().clear();
         // It ends once the row is there.
         task.await.unwrap();
--- a/tests/feed_fleet.rs
+++ b/tests/feed_fleet.rs
@@ -12,7 +12,7 @@
 
 use auburnspoke::clock::{Clock, Time};
 use auburnspoke::edge::count::Count;
-use auburnspoke::edge::learn::{News, follow};
+use auburnspoke::edge::learn::{Update, follow};
 use auburnspoke::feed::desk::{Desk, Topic};
 use auburnspoke::feed::source::{Ask, Setup, Source};
 use auburnspoke::member::{Member, View};
@@ -222,9 +222,9 @@
             let version = Rc::new(Flag::new(0));
             known.push(Rc::clone(&version));
             let following = follow(source, TABLE, GAP, move |news| match news {
-                News::Changes(changes) => version.set(changes.version),
-                News::Snapshot(snapshot) => version.set(snapshot.version),
-                News::Failed => {}
+                Update::Changes(changes) => version.set(changes.version),
+                Update::Snapshot(snapshot) => version.set(snapshot.version),
+                Update::Failed => {}
             });
             tokio::task::spawn_local(following);
         }
--- a/tests/learn_endpoints.rs
+++ b/tests/learn_endpoints.rs
@@ -5,7 +5,7 @@
 
 use auburnspoke::catalog::{Catalog, Endpoint};
 use auburnspoke::clock::Clock;
-use auburnspoke::edge::learn::{Learner, News};
+use auburnspoke::edge::learn::{Learner, Update};
 use auburnspoke::snapshot::Cell;
 use auburnspoke::table::{Change, Changes, Row, Snapshot};
 use bytes::Bytes;
@@ -42,7 +42,7 @@
             version,
             value,
         };
-        self.learner.endpoints(News::Changes(Changes {
+        self.learner.endpoints(Update::Changes(Changes {
             changes: vec![change],
             version,
             ..Changes::default()
@@ -85,7 +85,8 @@
     // row that can't be read. Were the table refused as a whole, the node would
     // answer every caller that there is no endpoint.
     let node = Node::new();
-    node.learner.endpoints(News::Snapshot(snapshot(Some(BAD))));
+    node.learner
+        .endpoints(Update::Snapshot(snapshot(Some(BAD))));
     expect_that!(node.endpoints(), eq(ROWS - 1));
     expect_that!(node.find(&key(BAD)), none());
 }
@@ -95,7 +96,7 @@
     // The row of an endpoint that works is overwritten by something unreadable.
     // Nobody knows what listens at its address now; the others hold.
     let node = Node::new();
-    node.learner.endpoints(News::Snapshot(snapshot(None)));
+    node.learner.endpoints(Update::Snapshot(snapshot(None)));
     node.change(800, &key(BAD), Some(Bytes::from_static(b"\xff")));
     expect_that!(node.endpoints(), eq(ROWS - 1));
     node.change(801, &key(BAD), Some(value(1_000 + BAD, 5)));
@@ -107,9 +108,9 @@
     // A node that is cut off from the store learns from this one. The endpoint
     // behind the unreadable row must not come back to life on that way.
     let node = Node::new();
-    node.learner.endpoints(News::Snapshot(snapshot(None)));
+    node.learner.endpoints(Update::Snapshot(snapshot(None)));
     node.change(800, &key(BAD), Some(Bytes::new()));
-    let known = node.learner.known(0).unwrap();
+    let known = node.learner.export(0).unwrap();
     let told = |(id, _, endpoint): &(_, u64, Option<Endpoint>)| {
         *id == key(BAD).into() && endpoint.is_some()
     };
@@ -123,7 +124,7 @@
     // A replica starts again under its id at another address. Requests that still
     // went to the old address would reach nobody, or another service.
     let node = Node::new();
-    node.learner.endpoints(News::Snapshot(snapshot(None)));
+    node.learner.endpoints(Update::Snapshot(snapshot(None)));
     node.change(800, &key(1), Some(value(9_001, 6)));
     let endpoint = node.find(&key(1)).unwrap();
     expect_that!(endpoint.address.port(), eq(9_001));
@@ -132,15 +133,15 @@
 
 #[gtest]
 fn endpoints_older_life_after_newer() {
-    // News of the earlier life come after those of the later one: from a reader
+    // Update of the earlier life come after those of the later one: from a reader
     // that is behind, and in a whole table that was read before. They must not
     // take the endpoint back to where it no longer is.
     let node = Node::new();
-    node.learner.endpoints(News::Snapshot(snapshot(None)));
+    node.learner.endpoints(Update::Snapshot(snapshot(None)));
     node.change(800, &key(1), Some(value(9_001, 6)));
     node.change(799, &key(1), Some(value(1_001, 5)));
     expect_that!(node.find(&key(1)).unwrap().incarnation, eq(6));
-    node.learner.endpoints(News::Snapshot(snapshot(None)));
+    node.learner.endpoints(Update::Snapshot(snapshot(None)));
     expect_that!(node.find(&key(1)).unwrap().incarnation, eq(6));
     expect_that!(node.find(&key(1)).unwrap().address.port(), eq(9_001));
 }
--- a/tests/quarantine_evidence.rs
+++ b/tests/quarantine_evidence.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use auburnspoke::clock::Time;
-use auburnspoke::connect::Listener;
+use auburnspoke::connect::Reachability;
 use auburnspoke::pool::message::{Ask, Class, End};
 use auburnspoke::pool::{Action, Key, Pool};
 use auburnspoke::quarantine::Fingerprint;
@@ -190,12 +190,12 @@
 fn judge_causes() {
     use Finding::{Crashed, Innocent, Open};
     let now = [
-        (Entry::Ready, Listener::Refused, Crashed),
-        (Entry::Replaced, Listener::Open, Crashed),
-        (Entry::Ready, Listener::Open, Open),
-        (Entry::Ready, Listener::Silent, Open),
-        (Entry::Draining, Listener::Refused, Innocent),
-        (Entry::Gone, Listener::Refused, Innocent),
+        (Entry::Ready, Reachability::Refused, Crashed),
+        (Entry::Replaced, Reachability::Open, Crashed),
+        (Entry::Ready, Reachability::Open, Open),
+        (Entry::Ready, Reachability::Silent, Open),
+        (Entry::Draining, Reachability::Refused, Innocent),
+        (Entry::Gone, Reachability::Refused, Innocent),
     ];
     for (entry, listener, finding) in now {
         expect_that!(
@@ -205,11 +205,11 @@
         );
     }
     let later = [
-        (Entry::Ready, Listener::Open, Open),
-        (Entry::Replaced, Listener::Open, Crashed),
-        (Entry::Gone, Listener::Silent, Crashed),
-        (Entry::Gone, Listener::Open, Innocent),
-        (Entry::Draining, Listener::Refused, Innocent),
+        (Entry::Ready, Reachability::Open, Open),
+        (Entry::Replaced, Reachability::Open, Crashed),
+        (Entry::Gone, Reachability::Silent, Crashed),
+        (Entry::Gone, Reachability::Open, Innocent),
+        (Entry::Draining, Reachability::Refused, Innocent),
     ];
     for (entry, listener, finding) in later {
         expect_that!(
--- a/tests/stay_address.rs
+++ b/tests/stay_address.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use auburnspoke::edge::stay::{directory_ttl, ending, serving};
+use auburnspoke::edge::grace::{directory_ttl, drain_time, exit_time};
 use auburnspoke::limit::Tolerance;
 use auburnspoke::site::Bounds;
 use googletest::prelude::*;
@@ -21,8 +21,8 @@
 fn serving_usual_grace() {
     let bounds = bounds(8_000, 5_000);
     expect_that!(directory_ttl(&bounds), eq(Duration::from_secs(2)));
-    expect_that!(serving(&bounds), eq(Duration::from_millis(6_300)));
-    expect_that!(ending(&bounds), eq(Duration::from_millis(7_500)));
+    expect_that!(drain_time(&bounds), eq(Duration::from_millis(6_300)));
+    expect_that!(exit_time(&bounds), eq(Duration::from_millis(7_500)));
 }
 
 /// A deployment gives a process less time to end. Some callers keep an address
@@ -35,8 +35,8 @@
         for ttl in [1_000, 2_000, 5_000] {
             let bounds = bounds(grace, ttl);
             let kept = directory_ttl(&bounds) * 3;
-            expect_that!(serving(&bounds), gt(kept));
-            let rest = ending(&bounds).saturating_sub(serving(&bounds));
+            expect_that!(drain_time(&bounds), gt(kept));
+            let rest = exit_time(&bounds).saturating_sub(drain_time(&bounds));
             expect_that!(rest, ge(Duration::from_secs(1)));
         }
     }
--- a/tests/wire_control.rs
+++ b/tests/wire_control.rs
@@ -3,7 +3,7 @@
 use auburnspoke::member::record::Record;
 use auburnspoke::member::{Member, State};
 use auburnspoke::wire::control::{
-    Body, Error, Frame, Head, MAX_DATAGRAM, MAX_VALUE, Note, Update, decode, encode,
+    Body, Error, Frame, Head, MAX_DATAGRAM_BYTES, MAX_VALUE_BYTES, Note, Update, decode, encode,
 };
 use bytes::Bytes;
 use googletest::prelude::*;
@@ -81,7 +81,7 @@
         },
         Body::Direct {
             topic: 9,
-            value: Bytes::from_static(&[1; MAX_VALUE]),
+            value: Bytes::from_static(&[1; MAX_VALUE_BYTES]),
         },
     ]
 }
@@ -129,7 +129,10 @@
     let mut longer = whole.clone();
     longer.push(0);
     expect_that!(decode(&longer), err(eq(&Error::Malformed)));
-    expect_that!(decode(&[1; MAX_DATAGRAM + 1]), err(eq(&Error::TooLong)));
+    expect_that!(
+        decode(&[1; MAX_DATAGRAM_BYTES + 1]),
+        err(eq(&Error::TooLong))
+    );
     let at = whole
         .windows(2)
         .position(|pair| pair == [0x61, b'g'])
@@ -150,7 +153,7 @@
             *byte = with;
         }
         if let Ok(frame) = decode(&bytes) {
-            prop_assert!(frame.updates.len() <= MAX_DATAGRAM);
+            prop_assert!(frame.updates.len() <= MAX_DATAGRAM_BYTES);
         }
     }
 
--- a/tests/wire_traffic.rs
+++ b/tests/wire_traffic.rs
@@ -1,7 +1,7 @@
 //! Broken frames on the connections between nodes.
 
 use auburnspoke::wire::traffic::Frame;
-use auburnspoke::wire::{self, MAX_FRAME, VERSION};
+use auburnspoke::wire::{self, MAX_FRAME_BYTES, VERSION};
 use futures_util::{SinkExt as _, StreamExt as _};
 use googletest::prelude::*;
 use serde_json::json;
@@ -68,7 +68,10 @@
         ("truncated", vec![hello(VERSION), truncated]),
         ("trailing bytes", vec![hello(VERSION), trailing]),
         ("unknown kind", vec![hello(VERSION), unknown]),
-        ("too long", vec![hello(VERSION), vec![0; MAX_FRAME + 1]]),
+        (
+            "too long",
+            vec![hello(VERSION), vec![0; MAX_FRAME_BYTES + 1]],
+        ),
         ("out of turn", vec![hello(VERSION), answer]),
     ];
     for (what, messages) in broken {
