--- a/benches/job.rs
+++ b/benches/job.rs
@@ -24,7 +24,7 @@
 struct Instantly;
 
 impl Execute for Instantly {
-    fn room(&self, _service: &Name) -> usize {
+    fn capacity(&self, _service: &Name) -> usize {
         64
     }
 
@@ -86,7 +86,7 @@
     }
     let accepted = from.elapsed().as_secs_f64();
     let setting = Setting {
-        poll: Duration::from_millis(1),
+        poll_interval: Duration::from_millis(1),
         ..Setting::default()
     };
     let (runner, _handle) = Runner::new(
--- a/src/batch/read.rs
+++ b/src/batch/read.rs
@@ -93,7 +93,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reader {
     /// Callers need no key, so that nobody is told apart.
-    Anybody,
+    Unrestricted,
     /// A caller of this organisation, or of none.
     Organisation(Option<Name>),
 }
@@ -103,7 +103,7 @@
     /// they look as if they were not there.
     fn may_see(&self, record: &Record) -> bool {
         match self {
-            Self::Anybody => true,
+            Self::Unrestricted => true,
             Self::Organisation(organisation) => *organisation == record.organisation,
         }
     }
--- a/src/batch/retire.rs
+++ b/src/batch/retire.rs
@@ -33,7 +33,7 @@
     let Some(now) = ledger.store_now(jobs.now()) else {
         return Vec::new();
     };
-    let kept = jobs.setup.results + SLACK;
+    let kept = jobs.setup.result_retention + SLACK;
     let kept = u64::try_from(kept.as_millis()).unwrap_or(u64::MAX);
     let view = jobs.setup.view.read();
     ledger
--- a/src/batch/shell.rs
+++ b/src/batch/shell.rs
@@ -61,7 +61,7 @@
     /// Largest value of a row, in bytes.
     pub row_bytes: usize,
     /// For how long results stay readable.
-    pub results: Duration,
+    pub result_retention: Duration,
     /// Admission.
     pub desk: Rc<Desk>,
     /// The quarantine.
--- a/src/edge.rs
+++ b/src/edge.rs
@@ -393,7 +393,7 @@
             clock: shared.clock,
             store: Client::new(shared.site.store.address),
             row_bytes: shared.site.store.row_bytes,
-            results: shared.site.bounds.results,
+            result_retention: shared.site.bounds.results,
             desk: Rc::clone(&desk),
             ward: Rc::clone(&ward),
             catalog: Arc::clone(&shared.catalog),
--- a/src/edge/front.rs
+++ b/src/edge/front.rs
@@ -159,10 +159,10 @@
     }
     let catalog = node.catalog.take();
     let Some(config) = &catalog.config else {
-        return Ok(Reader::Anybody);
+        return Ok(Reader::Unrestricted);
     };
     if config.keyring.is_none() {
-        return Ok(Reader::Anybody);
+        return Ok(Reader::Unrestricted);
     }
     let credential = organisation::credential(&parts.headers);
     // Which job it is of is not known yet; one of a public route has no organisation.
--- a/src/job.rs
+++ b/src/job.rs
@@ -37,7 +37,7 @@
 /// What the runner needs from the dispatchers of its node.
 pub trait Execute {
     /// Batch items that this node would take now for the service.
-    fn room(&self, service: &Name) -> usize;
+    fn capacity(&self, service: &Name) -> usize;
 
     /// The services that this node dispatches for now.
     fn services(&self) -> Vec<Name>;
@@ -81,36 +81,36 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Setting {
     /// A holder that was not seen to renew for this long may be taken over.
-    pub lease: Duration,
+    pub lease_duration: Duration,
     /// Time between two renewals of a holder's lease.
-    pub renew: Duration,
+    pub renew_interval: Duration,
     /// Time between two flushes of finished results; work redone after a loss
     /// is at most this much and what ran at the time.
-    pub flush: Duration,
+    pub flush_interval: Duration,
     /// Time between two looks at the index of open chunks.
-    pub poll: Duration,
+    pub poll_interval: Duration,
     /// Time between two looks at the rows of the jobs held, for cancellations
     /// whose push was lost.
-    pub check: Duration,
+    pub check_interval: Duration,
     /// Time for which a stopping node lets running items finish.
-    pub grace: Duration,
+    pub drain_timeout: Duration,
     /// Times an item may fail while it runs alone.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Chunks that one node holds at most.
-    pub held: usize,
+    pub max_chunks: usize,
 }
 
 impl Default for Setting {
     fn default() -> Self {
         Self {
-            lease: Duration::from_secs(30),
-            renew: Duration::from_secs(10),
-            flush: Duration::from_secs(5),
-            poll: Duration::from_secs(2),
-            check: Duration::from_secs(10),
-            grace: Duration::from_secs(20),
-            attempts: 3,
-            held: 16,
+            lease_duration: Duration::from_secs(30),
+            renew_interval: Duration::from_secs(10),
+            flush_interval: Duration::from_secs(5),
+            poll_interval: Duration::from_secs(2),
+            check_interval: Duration::from_secs(10),
+            drain_timeout: Duration::from_secs(20),
+            max_attempts: 3,
+            max_chunks: 16,
         }
     }
 }
--- a/src/job/accept.rs
+++ b/src/job/accept.rs
@@ -15,7 +15,7 @@
 /// Most items of a job.
 pub const MAX_ITEMS: usize = 1_000_000;
 /// Longest prompt of an item, in bytes.
-pub const MAX_PROMPT: usize = 256 * 1024;
+pub const MAX_PROMPT_BYTES: usize = 256 * 1024;
 /// When a job is due if its caller does not say.
 const DUE: Duration = Duration::from_secs(24 * 3_600);
 /// Times that a step is tried again at once after a lost answer.
@@ -184,9 +184,9 @@
         let message = format!("a job may have {MAX_ITEMS} items; split it");
         return Err(Refusal::new(Reason::TooLarge).because(message));
     }
-    let long = |item: &Item| item.prompt.len() > MAX_PROMPT;
+    let long = |item: &Item| item.prompt.len() > MAX_PROMPT_BYTES;
     if let Some(number) = submission.items.iter().position(long) {
-        let message = format!("item {number} has a prompt above {MAX_PROMPT} bytes");
+        let message = format!("item {number} has a prompt above {MAX_PROMPT_BYTES} bytes");
         return Err(Refusal::new(Reason::TooLarge).because(message));
     }
     distinct(&submission.items)
--- a/src/job/runner.rs
+++ b/src/job/runner.rs
@@ -65,14 +65,14 @@
 
 impl Handle {
     /// Passes on what happened; does nothing when the runner has ended.
-    pub fn tell(&self, input: Input) {
+    pub fn send(&self, input: Input) {
         let _ = self.inputs.send(input);
     }
 }
 
 /// What one runner has done, for metrics and tests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct Stats {
     /// Items sent to the dispatchers.
     pub sent: u64,
     /// Chunks claimed.
@@ -107,7 +107,7 @@
     watch: Watch,
     due: Due,
     weights: BTreeMap<Name, u32>,
-    tally: Rc<Cell<Tally>>,
+    stats: Rc<Cell<Stats>>,
     stopping: bool,
 }
 
@@ -186,7 +186,7 @@
             works: BTreeMap::new(),
             next_work: 0,
             services: BTreeMap::new(),
-            watch: Watch::new(setting.lease),
+            watch: Watch::new(setting.lease_duration),
             due: Due {
                 listed: Time::ZERO,
                 listing: false,
@@ -194,15 +194,15 @@
                 checking: false,
             },
             weights: BTreeMap::new(),
-            tally: Rc::default(),
+            stats: Rc::default(),
             stopping: false,
         };
         (runner, Handle { inputs: sender })
     }
 
     /// Where this runner counts what it does; read it on its own thread.
-    pub fn tally(&self) -> Rc<Cell<Tally>> {
-        self.tally.clone()
+    pub fn stats(&self) -> Rc<Cell<Stats>> {
+        self.stats.clone()
     }
 
     /// Runs until `stop` is ready, then gives back what it holds and returns.
@@ -244,11 +244,11 @@
 
     fn count<F>(&self, change: F)
     where
-        F: FnOnce(&mut Tally),
+        F: FnOnce(&mut Stats),
     {
-        let mut tally = self.tally.get();
-        change(&mut tally);
-        self.tally.set(tally);
+        let mut stats = self.stats.get();
+        change(&mut stats);
+        self.stats.set(stats);
     }
 
     fn input(&mut self, input: Input) {
@@ -262,7 +262,7 @@
             }
             Input::Accepted(service) => {
                 let now = self.now();
-                let poll = self.setting.poll;
+                let poll = self.setting.poll_interval;
                 let wait = self.phase(ACCEPTED_SPREAD);
                 if let Some(search) = self.services.get_mut(&service) {
                     search.scanned = search.scanned.min((now + wait) - poll);
--- a/src/job/runner/claim.rs
+++ b/src/job/runner/claim.rs
@@ -65,14 +65,14 @@
             .filter(|work| work.place.job.service == *service);
         let waiting: usize = works.by_ref().map(|work| work.chunk.waiting()).sum();
         let claiming: usize = self.services.values().map(|s| s.claiming.len()).sum();
-        let full = self.works.len() + claiming >= self.setting.held;
+        let full = self.works.len() + claiming >= self.setting.max_chunks;
         let Some(search) = self.services.get_mut(service) else {
             return;
         };
-        if full || !search.claiming.is_empty() || waiting >= self.execute.room(service).max(1) {
+        if full || !search.claiming.is_empty() || waiting >= self.execute.capacity(service).max(1) {
             return;
         }
-        if self.execute.room(service) == 0 {
+        if self.execute.capacity(service) == 0 {
             return;
         }
         // A claim is made on what was read just now. From what was read before
@@ -85,7 +85,7 @@
 
     /// Starts to read a page when the last one is old; true while one is read.
     fn scan(&mut self, now: Time, service: &Name) -> bool {
-        let poll = self.setting.poll;
+        let poll = self.setting.poll_interval;
         let Some(search) = self.services.get_mut(service) else {
             return true;
         };
@@ -129,7 +129,7 @@
             kind,
             session: self.lease.session.clone(),
             from: self.flush.next(),
-            attempts: self.setting.attempts,
+            attempts: self.setting.max_attempts,
         };
         let service = service.clone();
         let platform = self.platform.clone();
@@ -178,7 +178,7 @@
 
     pub(super) fn claimed(&mut self, claimed: Claimed) {
         let now = self.now();
-        let poll = self.setting.poll;
+        let poll = self.setting.poll_interval;
         let Some(search) = self.services.get_mut(&claimed.service) else {
             return;
         };
@@ -187,16 +187,16 @@
         let Some(work) = claimed.got else {
             // Soon again, but not at once: the platform may be down.
             search.scanned = (now + poll / RETRY_PART) - poll;
-            self.count(|tally| tally.collided += 1);
+            self.count(|stats| stats.collided += 1);
             return;
         };
         // The next look is due at once: the row that was known has changed.
         search.scanned = Time::ZERO;
         search.ledger.charge(&work.id.organisation, claimed.items);
         let taken_over = matches!(claimed.kind, Kind::Lost(..));
-        self.count(|tally| {
-            tally.claimed += 1;
-            tally.taken_over += u64::from(taken_over);
+        self.count(|stats| {
+            stats.claimed += 1;
+            stats.taken_over += u64::from(taken_over);
         });
         let event = if taken_over {
             event::CHUNK_TAKEN_OVER
--- a/src/job/runner/commit.rs
+++ b/src/job/runner/commit.rs
@@ -47,7 +47,7 @@
             return;
         }
         if let Some(work) = self.drop_work(ended.work) {
-            self.count(|tally| tally.committed += 1);
+            self.count(|stats| stats.committed += 1);
             log::info!(
                 "{} job={} chunk={} epoch={}",
                 event::CHUNK_COMMITTED,
@@ -61,7 +61,7 @@
     /// Another holder has the chunk, or its job is over.
     pub(super) fn lose(&mut self, number: u64) {
         if let Some(work) = self.drop_work(number) {
-            self.count(|tally| tally.lost += 1);
+            self.count(|stats| stats.lost += 1);
             log::warn!(
                 "{} job={} chunk={} epoch={}",
                 event::CHUNK_LOST,
--- a/src/job/runner/drive.rs
+++ b/src/job/runner/drive.rs
@@ -64,7 +64,7 @@
         if !self.services.contains_key(service) {
             let mut ledger = Ledger::default();
             ledger.weigh(self.weights.clone());
-            let scanned = self.now() - self.phase(self.setting.poll);
+            let scanned = self.now() - self.phase(self.setting.poll_interval);
             let search = Search::new(service.clone(), ledger, scanned);
             self.services.insert(service.clone(), search);
         }
@@ -75,7 +75,7 @@
     /// others go on with it at once and not after the lease.
     pub(super) async fn drain(&mut self) {
         self.stopping = true;
-        let end = self.now() + self.setting.grace;
+        let end = self.now() + self.setting.drain_timeout;
         while self.now() < end && self.is_busy() {
             self.wait().await;
         }
@@ -88,7 +88,7 @@
         }
         let now = self.now();
         self.flush(now);
-        while self.flush.is_busy() && self.now() < end + self.setting.grace {
+        while self.flush.is_busy() && self.now() < end + self.setting.drain_timeout {
             self.wait().await;
         }
         if !self.flush.is_busy() {
@@ -130,7 +130,7 @@
                 kept = true;
                 continue;
             }
-            self.count(|tally| tally.released += 1);
+            self.count(|stats| stats.released += 1);
             log::info!("{} job={} epoch={epoch}", event::CHUNK_RELEASED, work.id);
         }
         // With chunks that could not be given back the lease stays, and others
--- a/src/job/runner/flush.rs
+++ b/src/job/runner/flush.rs
@@ -48,7 +48,7 @@
     /// attempt to be recorded.
     pub(super) fn flush_due(&mut self, now: Time) {
         let urgent = self.works.values().any(|work| work.chunk.is_recording());
-        let due = now.since(self.flush.done) >= self.setting.flush;
+        let due = now.since(self.flush.done) >= self.setting.flush_interval;
         if (due || urgent) && !self.flush.busy {
             self.flush(now);
         }
@@ -90,7 +90,7 @@
 
     pub(super) fn flushed(&mut self, flushed: &Flushed) {
         self.flush.busy = false;
-        self.count(|tally| tally.flushed += 1);
+        self.count(|stats| stats.flushed += 1);
         for part in &flushed.parts {
             if let Some(work) = self.works.get_mut(&part.work) {
                 work.chunk.written(&part.attempts, &part.replies);
--- a/src/job/runner/lease.rs
+++ b/src/job/runner/lease.rs
@@ -25,7 +25,7 @@
     pub(super) fn renew_due(&mut self, now: Time) {
         let wanted =
             !self.works.is_empty() || self.services.values().any(super::Search::is_promising);
-        let due = !self.lease.taken || now.since(self.lease.renewed) >= self.setting.renew;
+        let due = !self.lease.taken || now.since(self.lease.renewed) >= self.setting.renew_interval;
         if self.lease.renewing || !wanted || !due {
             return;
         }
@@ -47,8 +47,8 @@
         self.lease.taken |= done;
         if !done {
             // Soon again, but not at once.
-            let wait = self.setting.renew / 10;
-            self.lease.renewed = (self.now() + wait) - self.setting.renew;
+            let wait = self.setting.renew_interval / 10;
+            self.lease.renewed = (self.now() + wait) - self.setting.renew_interval;
         }
     }
 
@@ -61,7 +61,7 @@
                 .held()
                 .any(|(_, held)| held.session != *session)
         };
-        let due = now.since(self.due.listed) >= self.setting.lease / 3;
+        let due = now.since(self.due.listed) >= self.setting.lease_duration / 3;
         if self.due.listing || !due || !self.services.values().any(foreign) {
             return;
         }
@@ -97,7 +97,7 @@
     /// Looks at the rows of the jobs held, for cancellations whose push was
     /// lost.
     pub(super) fn check_due(&mut self, now: Time) {
-        let due = now.since(self.due.checked) >= self.setting.check;
+        let due = now.since(self.due.checked) >= self.setting.check_interval;
         if self.due.checking || !due || self.works.is_empty() {
             return;
         }
--- a/src/job/runner/work.rs
+++ b/src/job/runner/work.rs
@@ -86,7 +86,7 @@
             return;
         };
         let unseen = search.unseen.clone();
-        let mut room = self.execute.room(service).saturating_sub(unseen.get());
+        let mut room = self.execute.capacity(service).saturating_sub(unseen.get());
         if self.start_alone(service, &unseen, room) {
             return;
         }
@@ -168,7 +168,7 @@
             })
         });
         work.running.insert(item, Running(task));
-        self.count(|tally| tally.sent += 1);
+        self.count(|stats| stats.sent += 1);
     }
 
     /// Writes the marks of the items that are sent next, before they are sent.
--- a/src/node.rs
+++ b/src/node.rs
@@ -346,7 +346,7 @@
     arbiter.spawn_fn(move || {
         let (runner, handle) = batch::runner(shared, assignment, platform, session);
         let _ = sender.send(handle);
-        actix_rt::spawn(counts.follow(runner.tally()));
+        actix_rt::spawn(counts.follow(runner.stats()));
         actix_rt::spawn(async move {
             batch::run(runner, stopped).await;
             drop(end);
--- a/src/node/batch.rs
+++ b/src/node/batch.rs
@@ -17,7 +17,7 @@
 use crate::dispatch::handle::Event;
 use crate::event;
 use crate::gateway::{Shared, complete};
-use crate::job::runner::{self, Runner, Tally};
+use crate::job::runner::{self, Runner, Stats};
 use crate::job::{Execute, Setting};
 use crate::name::Name;
 use crate::outcome::{Outcome, Reason, Refusal};
@@ -96,7 +96,7 @@
     }
 
     /// Adds what the runner has done since `before`.
-    fn add(&self, before: Tally, now: Tally) {
+    fn add(&self, before: Stats, now: Stats) {
         let all = [
             (&self.sent, before.sent, now.sent),
             (&self.claimed, before.claimed, now.claimed),
@@ -114,8 +114,8 @@
 
     /// Follows a runner's tally, which lives on its thread, for as long as that
     /// thread runs.
-    pub async fn follow(self, tally: Rc<std::cell::Cell<Tally>>) {
-        let mut before = Tally::default();
+    pub async fn follow(self, tally: Rc<std::cell::Cell<Stats>>) {
+        let mut before = Stats::default();
         loop {
             let now = tally.get();
             self.add(before, now);
@@ -182,7 +182,7 @@
 }
 
 impl Execute for Executor {
-    fn room(&self, service: &Name) -> usize {
+    fn capacity(&self, service: &Name) -> usize {
         let assignment = self.assignment.read();
         let own = assignment.get(service).into_iter().flatten();
         own.map(|own| self.room_at(own)).sum()
--- a/src/node/control.rs
+++ b/src/node/control.rs
@@ -168,7 +168,7 @@
         if note.topic == CANCELLED
             && let Some(id) = crate::job::Id::parse(&note.key)
         {
-            self.runner.tell(runner::Input::Cancelled(id));
+            self.runner.send(runner::Input::Cancelled(id));
             return;
         }
         // A full channel is as good as a lost datagram.
@@ -177,13 +177,13 @@
 
     /// A job of this service was accepted here.
     pub fn accepted(&self, service: Name) {
-        self.runner.tell(runner::Input::Accepted(service));
+        self.runner.send(runner::Input::Accepted(service));
     }
 
     /// Tells every runner that a job was cancelled, so that they stop before
     /// they look at its row.
     pub fn broadcast_cancel(&self, id: &crate::job::Id) {
-        self.runner.tell(runner::Input::Cancelled(id.clone()));
+        self.runner.send(runner::Input::Cancelled(id.clone()));
         self.members.note(Note {
             topic: CANCELLED,
             key: id.to_string().into(),
@@ -233,7 +233,7 @@
                 self.members.in_force(version);
                 let organisations = force.document.organisations.values();
                 let weights = organisations.map(|o| (o.name.clone(), o.weight)).collect();
-                self.runner.tell(runner::Input::Weights(weights));
+                self.runner.send(runner::Input::Weights(weights));
             }
             actix_rt::time::sleep(TELL_EVERY).await;
         }
--- a/src/order.rs
+++ b/src/order.rs
@@ -17,11 +17,11 @@
 /// Path that answers a [`State`].
 pub const STATE_PATH: &str = "/v1/state";
 /// Longest order or state, in bytes.
-pub const MAX_BODY: usize = 256 * 1024;
+pub const MAX_BODY_BYTES: usize = 256 * 1024;
 
 /// A model that an endpoint holds or is to hold.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Load {
+pub struct Model {
     /// The model's name.
     pub model: Name,
     /// Its version.
@@ -52,7 +52,7 @@
     /// The fencing number: the epoch of the sender's lease.
     pub fence: u64,
     /// All that it is to hold, in order.
-    pub hold: Vec<Load>,
+    pub hold: Vec<Model>,
     /// Its role.
     #[serde(default)]
     pub role: Role,
@@ -65,7 +65,7 @@
     /// it does not check.
     pub fence: u64,
     /// What it holds or is loading.
-    pub hold: Vec<Load>,
+    pub hold: Vec<Model>,
     /// Its role.
     #[serde(default)]
     pub role: Role,
@@ -84,7 +84,7 @@
     ///
     /// # Errors
     /// [`Stale`] when it checks and has obeyed a higher number.
-    pub fn obey(&mut self, order: Order, checks: bool) -> Result<(), Stale> {
+    pub fn apply(&mut self, order: Order, checks: bool) -> Result<(), Stale> {
         if checks && order.fence < self.fence {
             return Err(Stale { fence: self.fence });
         }
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -22,7 +22,7 @@
 use crate::locate::region;
 use crate::member::View;
 use crate::name::Name;
-use crate::order::{Load, Order, State};
+use crate::order::{Model, Order, State};
 
 pub mod choose;
 mod message;
@@ -60,7 +60,7 @@
     asked: Option<Time>,
     next: Time,
     /// Loads that the weight store has admitted and that it does not yet hold.
-    admitted: Vec<Load>,
+    admitted: Vec<Model>,
     /// True after a read, until it was decided when to read it next.
     rest: bool,
 }
@@ -100,7 +100,7 @@
     /// The epoch under which an endpoint refused this node as stale.
     deposed: u64,
     endpoints: BTreeMap<Name, Known>,
-    admitting: Option<(Name, Load)>,
+    admitting: Option<(Name, Model)>,
     admit_at: Time,
     counts: Vec<choose::Count>,
 }
@@ -292,7 +292,7 @@
         now: Time,
         held: Held,
         name: &Name,
-        wanted: Vec<Load>,
+        wanted: Vec<Model>,
         actions: &mut Vec<Action>,
     ) {
         let watch = now.since(self.gained) < WATCH;
--- a/src/placement/choose.rs
+++ b/src/placement/choose.rs
@@ -6,7 +6,7 @@
 use crate::config::{Document, Endpoint, Kind, Service};
 use crate::locate::region;
 use crate::name::Name;
-use crate::order::{Load, State};
+use crate::order::{Model, State};
 
 /// What one service wants in one region and has.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Plan {
     /// By endpoint, for those that can be reached: the whole set, in order.
-    pub hold: BTreeMap<Name, Vec<Load>>,
+    pub hold: BTreeMap<Name, Vec<Model>>,
     /// By service, in name order.
     pub counts: Vec<Count>,
 }
@@ -79,10 +79,10 @@
 }
 
 /// What an endpoint of the service must hold.
-pub fn load(service: &Service) -> Load {
+pub fn load(service: &Service) -> Model {
     let mut adapters = service.adapters.clone();
     adapters.sort_unstable();
-    Load {
+    Model {
         model: service.model.clone(),
         version: service.model_version.clone(),
         adapters,
@@ -91,8 +91,8 @@
 
 /// Adds a load; two services of one model and version share it with the
 /// adapters of both.
-fn merge(hold: &mut Vec<Load>, load: Load) {
-    let same = |one: &&mut Load| one.model == load.model && one.version == load.version;
+fn merge(hold: &mut Vec<Model>, load: Model) {
+    let same = |one: &&mut Model| one.model == load.model && one.version == load.version;
     match hold.iter_mut().find(same) {
         Some(one) => {
             one.adapters.extend(load.adapters);
@@ -146,7 +146,7 @@
     usable: &[&Endpoint],
     wanted: usize,
     known: &BTreeMap<Name, State>,
-    planned: &BTreeMap<Name, Vec<Load>>,
+    planned: &BTreeMap<Name, Vec<Model>>,
 ) -> Vec<Name> {
     let target = load(service);
     let mut zones: BTreeMap<&str, usize> = BTreeMap::new();
@@ -178,7 +178,7 @@
 
 /// 0 when the endpoint holds the model in this version, 1 in another one, 2
 /// when not at all.
-fn distance(state: &State, target: &Load) -> u8 {
+fn distance(state: &State, target: &Model) -> u8 {
     let of_model = || state.hold.iter().filter(|load| load.model == target.model);
     if of_model().any(|load| load.version == target.version) {
         0
--- a/src/placement/run.rs
+++ b/src/placement/run.rs
@@ -18,7 +18,7 @@
 use crate::locate::region;
 use crate::member::View;
 use crate::name::Name;
-use crate::order::{MAX_BODY, ORDER_PATH, Order, STATE_PATH, Stale, State};
+use crate::order::{MAX_BODY_BYTES, ORDER_PATH, Order, STATE_PATH, Stale, State};
 use crate::snapshot::Cell;
 use crate::table::{Fault, Table, Weight};
 
@@ -246,7 +246,7 @@
         if answer.status() != StatusCode::OK {
             return None;
         }
-        let body = http::read_body(&mut answer, MAX_BODY).await.ok()?;
+        let body = http::read_body(&mut answer, MAX_BODY_BYTES).await.ok()?;
         serde_json::from_slice(&body).ok()
     };
     let state = tokio::time::timeout(ORDER_TIMEOUT, exchange).await;
@@ -267,7 +267,7 @@
             .send_body(body);
         let mut answer = sent.await.map_err(|_| Failure::Unknown)?;
         let status = answer.status();
-        let body = http::read_body(&mut answer, MAX_BODY).await;
+        let body = http::read_body(&mut answer, MAX_BODY_BYTES).await;
         match status {
             StatusCode::OK => Ok(()),
             StatusCode::CONFLICT => {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -131,7 +131,7 @@
     fn default() -> Self {
         Self {
             body_bytes: 128 * 1024 * 1024,
-            prompt_bytes: crate::job::accept::MAX_PROMPT,
+            prompt_bytes: crate::job::accept::MAX_PROMPT_BYTES,
             job_items: 500_000,
         }
     }
--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -9,7 +9,7 @@
 use super::{
     Format, Invalid, Leave, Limits, Listen, Log, Node, Platform, Settings, Timeouts, unit,
 };
-use crate::job::accept::{MAX_ITEMS, MAX_PROMPT};
+use crate::job::accept::{MAX_ITEMS, MAX_PROMPT_BYTES};
 use crate::name::{self, Name};
 
 /// Threads that carry requests when the file names no number.
@@ -229,7 +229,12 @@
             .map_or(Some(fallback), |entry| entry.number((1, most), faults))
     };
     let body_bytes = read("body_bytes", MAX_BYTES, fallback.body_bytes, faults);
-    let prompt_bytes = read("prompt_bytes", MAX_PROMPT, fallback.prompt_bytes, faults);
+    let prompt_bytes = read(
+        "prompt_bytes",
+        MAX_PROMPT_BYTES,
+        fallback.prompt_bytes,
+        faults,
+    );
     let job_items = read("job_items", MAX_ITEMS, fallback.job_items, faults);
     let prompt_entry = section.entry("prompt_bytes");
     section.finish(faults);
--- a/standin/tests/support/fleet.rs
+++ b/standin/tests/support/fleet.rs
@@ -166,7 +166,7 @@
                 clock,
                 store: Client::new(store.listen(at).await.unwrap()),
                 row_bytes: 65_536,
-                results: Duration::from_secs(120),
+                result_retention: Duration::from_secs(120),
                 desk,
                 ward,
                 catalog: Arc::clone(&catalog),
--- a/tests/job_budget.rs
+++ b/tests/job_budget.rs
@@ -99,7 +99,7 @@
                 .await;
         }
         fleet
-            .until(|fleet| fleet.nodes[&node].tally.get().claimed >= 4)
+            .until(|fleet| fleet.nodes[&node].stats.get().claimed >= 4)
             .await;
         let before = fleet.platform.counts();
         fleet.pass(Duration::from_secs(100)).await;
@@ -168,7 +168,7 @@
             let mut worst = 0;
             for seed in 0..12 {
                 let mut fleet = Fleet::with(seed, 0, Duration::from_secs(1));
-                fleet.setting.flush = Duration::from_secs(seconds);
+                fleet.setting.flush_interval = Duration::from_secs(seconds);
                 fleet.add();
                 let id = fleet.submit(&submission("menu", items(128))).await;
                 // 128 items take 16 rounds of a second; each loss falls elsewhere.
@@ -199,5 +199,5 @@
     }
     let chunk = Chunk::new(&held, 0, lot, false, 3, &[]);
     expect_that!(chunk.size(), eq(512 * 400));
-    expect_that!(Setting::default().held, le(16));
+    expect_that!(Setting::default().max_chunks, le(16));
 }
--- a/tests/job_cancel.rs
+++ b/tests/job_cancel.rs
@@ -45,7 +45,10 @@
         let acknowledged = fleet.elapsed();
         fleet.pass(Duration::from_secs(60)).await;
         let late = fleet.last_start().saturating_sub(acknowledged);
-        expect_that!(late, le(fleet.setting.check + Duration::from_millis(200)));
+        expect_that!(
+            late,
+            le(fleet.setting.check_interval + Duration::from_millis(200))
+        );
         // What ran was broken off at the endpoints.
         expect_that!(fleet.world.borrow().cancelled, ge(8));
         expect_that!(
@@ -69,7 +72,7 @@
             eq(&Outcome::Done(State::Cancelled))
         );
         for node in fleet.nodes.values() {
-            node.handle.tell(Input::Cancelled(id.clone()));
+            node.handle.send(Input::Cancelled(id.clone()));
         }
         fleet.pass(Duration::from_millis(1)).await;
         let acknowledged = fleet.elapsed();
@@ -90,7 +93,7 @@
                 fleet
                     .nodes
                     .values()
-                    .map(|n| n.tally.get().committed)
+                    .map(|n| n.stats.get().committed)
                     .sum::<u64>()
                     >= 3
             })
--- a/tests/job_exactly_once.rs
+++ b/tests/job_exactly_once.rs
@@ -137,7 +137,7 @@
     run(async {
         for step in 0..400u64 {
             let mut fleet = Fleet::with(step, 1, Duration::from_millis(20));
-            fleet.setting.flush = Duration::from_millis(100);
+            fleet.setting.flush_interval = Duration::from_millis(100);
             let node = fleet.add();
             fleet.kill(0);
             let id = fleet.submit(&submission("menu", items(30))).await;
@@ -196,8 +196,8 @@
             let other = fleet.add();
             fleet
                 .until(|fleet| {
-                    let tally = fleet.nodes[&other].tally.get();
-                    tally.taken_over >= 1 && tally.committed >= 1
+                    let stats = fleet.nodes[&other].stats.get();
+                    stats.taken_over >= 1 && stats.committed >= 1
                 })
                 .await;
             fleet.read(&id).await;
@@ -319,7 +319,7 @@
         let stopped = fleet.elapsed();
         assert_eq!(fleet.finish(&id).await, State::Ended);
         let took = fleet.elapsed().saturating_sub(stopped);
-        expect_that!(took, lt(fleet.setting.lease));
+        expect_that!(took, lt(fleet.setting.lease_duration));
         assert_whole(&fleet.read(&id).await, 500);
         expect_that!(fleet.world.borrow().runs.len(), eq(500));
     });
--- a/tests/job_support/fleet.rs
+++ b/tests/job_support/fleet.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use auburnspoke::clock::Time;
-use auburnspoke::job::runner::{Handle, Runner, Tally};
+use auburnspoke::job::runner::{Handle, Runner, Stats};
 use auburnspoke::job::{Execute, Id, Item, Jobs, Reply, Setting, State, Submission};
 use auburnspoke::name::Name;
 use auburnspoke::outcome::{Outcome, Reason, Refusal};
@@ -161,7 +161,7 @@
 }
 
 impl Execute for Endpoint {
-    fn room(&self, _service: &Name) -> usize {
+    fn capacity(&self, _service: &Name) -> usize {
         self.slots - self.running.get()
     }
 
@@ -220,7 +220,7 @@
     stop: Option<oneshot::Sender<()>>,
     pub frozen: bool,
     pub handle: Handle,
-    pub tally: Rc<Cell<Tally>>,
+    pub stats: Rc<Cell<Stats>>,
     pub running: Rc<Cell<usize>>,
     done: Rc<Cell<bool>>,
 }
@@ -291,7 +291,7 @@
         let session = format!("node-{number}").into();
         let remote = self.remote.clone();
         let (runner, handle) = Runner::new(session, remote.clone(), remote, endpoint, self.setting);
-        let tally = runner.tally();
+        let stats = runner.stats();
         let (stop, stopped) = oneshot::channel();
         let local = LocalSet::new();
         let done = Rc::new(Cell::new(false));
@@ -309,7 +309,7 @@
             stop: Some(stop),
             frozen: false,
             handle,
-            tally,
+            stats,
             running,
             done,
         };
@@ -353,7 +353,7 @@
     pub fn claimed(&self) -> u64 {
         self.nodes
             .values()
-            .map(|node| node.tally.get().claimed)
+            .map(|node| node.stats.get().claimed)
             .sum()
     }
 
--- a/tests/placement_http.rs
+++ b/tests/placement_http.rs
@@ -14,7 +14,7 @@
 use auburnspoke::http;
 use auburnspoke::lease::Setting;
 use auburnspoke::lease::keep::Keeper;
-use auburnspoke::order::{Load, ORDER_PATH, Order, Role, State};
+use auburnspoke::order::{Model, ORDER_PATH, Order, Role, State};
 use auburnspoke::placement::Failure;
 use auburnspoke::placement::run::{Placer, read, send};
 use auburnspoke::rpc::v1;
@@ -58,7 +58,7 @@
             let mut body = request.take_payload();
             let body = http::read_body(&mut body, 10_000).await.unwrap();
             let order: Order = serde_json::from_slice(&body).unwrap();
-            let obeyed = self.state.borrow_mut().obey(order, self.checks);
+            let obeyed = self.state.borrow_mut().apply(order, self.checks);
             if let Err(stale) = obeyed {
                 status = StatusCode::CONFLICT;
                 let body = serde_json::to_vec(&stale).unwrap();
@@ -73,13 +73,13 @@
         format!("http://{}{path}", self.address)
     }
 
-    fn hold(&self) -> Vec<Load> {
+    fn hold(&self) -> Vec<Model> {
         self.state.borrow().hold.clone()
     }
 }
 
-fn load(version: &str) -> Load {
-    Load {
+fn load(version: &str) -> Model {
+    Model {
         model: "m".into(),
         version: version.into(),
         adapters: vec![],
@@ -194,12 +194,12 @@
     )
     .unwrap();
     let mut state = State::default();
-    expect_that!(state.obey(order, true), ok(anything()));
+    expect_that!(state.apply(order, true), ok(anything()));
     let text = serde_json::to_string(&state).unwrap();
     let expected =
         r#"{"fence":7,"hold":[{"model":"m","version":"2","adapters":["a"]}],"role":"prefill"}"#;
     expect_that!(text, eq(expected));
     let short: Order = serde_json::from_str(r#"{"fence":6,"hold":[]}"#).unwrap();
-    expect_that!(state.obey(short.clone(), true), err(anything()));
-    expect_that!(state.obey(short, false), ok(anything()));
+    expect_that!(state.apply(short.clone(), true), err(anything()));
+    expect_that!(state.apply(short, false), ok(anything()));
 }
--- a/tests/placement_planner/fleet.rs
+++ b/tests/placement_planner/fleet.rs
@@ -238,7 +238,7 @@
             return Err(Failure::Unknown);
         }
         let before = target.state.hold.clone();
-        let obeyed = target.state.obey(order, target.checks);
+        let obeyed = target.state.apply(order, target.checks);
         self.orders += 1;
         let loaded = target
             .state
