--- a/src/batch/accept.rs
+++ b/src/batch/accept.rs
@@ -16,7 +16,7 @@
 use crate::event;
 use crate::name::{self, Name};
 use crate::platform::{call, job};
-use crate::table::{Expect, Fault, Feed as _, Lapse, Store as _, Table as _, Transaction};
+use crate::table::{Expect, Fault, Feed as _, FeedError, Store as _, Table as _, Transaction};
 
 /// Tries before the caller is told that the job may have been accepted.
 const TRIES: u32 = 6;
@@ -295,8 +295,8 @@
                 .changes(record::TABLE, known, Duration::ZERO)
                 .await
                 .map_err(|lapse| match lapse {
-                    Lapse::Fault(fault) => fault,
-                    Lapse::Gone => Fault::Refused {
+                    FeedError::Fault(fault) => fault,
+                    FeedError::Gone => Fault::Refused {
                         retry_after: STORE_RETRY,
                     },
                 })?;
--- a/src/config/check.rs
+++ b/src/config/check.rs
@@ -21,9 +21,9 @@
 /// Longest deadline of a question, in milliseconds.
 pub const MAX_DEADLINE_MS: u32 = 3_600_000;
 /// Deadline of a service that names none, in milliseconds.
-pub const DEADLINE_MS: u32 = 30_000;
+pub const DEFAULT_DEADLINE_MS: u32 = 30_000;
 /// Bound on tokens of a model service that names none.
-pub const MAX_TOKENS: u32 = 1_024;
+pub const DEFAULT_MAX_TOKENS: u32 = 1_024;
 /// Most sequences that an endpoint may be said to run at a time.
 pub const MAX_SLOTS: u32 = 4_096;
 const MAX_LATENCY_WEIGHT: u32 = 100;
@@ -211,9 +211,9 @@
             model: service.model.as_str().into(),
             model_version: service.model_version.as_str().into(),
             adapters: self.names(place, "adapters", &service.adapters),
-            deadline_ms: or(service.deadline_ms, DEADLINE_MS),
+            deadline_ms: or(service.deadline_ms, DEFAULT_DEADLINE_MS),
             max_tokens: match kind {
-                Kind::Model => or(service.max_tokens, MAX_TOKENS),
+                Kind::Model => or(service.max_tokens, DEFAULT_MAX_TOKENS),
                 Kind::Plain => service.max_tokens,
             },
             replicas: service.replicas,
--- a/src/config/commit.rs
+++ b/src/config/commit.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::check::Problem;
-use super::row::{self, Change, DOCUMENT_KEY, HISTORY_KEPT, POINTER_KEY, Pointer};
+use super::row::{self, Change, DOCUMENT_KEY, MAX_HISTORY_ROWS, POINTER_KEY, Pointer};
 use super::{Document, diff};
 use crate::member::{State, View};
 use crate::outcome::{Outcome, Reason, Refusal};
@@ -112,7 +112,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reach {
     /// Nodes that know of it.
-    pub heard: usize,
+    pub acknowledged: usize,
     /// Nodes that there are.
     pub total: usize,
 }
@@ -142,7 +142,7 @@
             .clone()
             .filter(|member| member.state == State::Alive);
         Reach {
-            heard: alive.count(),
+            acknowledged: alive.count(),
             total: counted.count(),
         }
     }
@@ -191,7 +191,7 @@
     let mut document = request.document.clone();
     document.version = request.expect + 1;
     let reach = announce.announce(document.version).await;
-    if reach.heard * 2 < reach.total {
+    if reach.acknowledged * 2 < reach.total {
         return Err(Error::Isolated);
     }
     let transaction = transaction(&current, &document, &request, diff.clone());
@@ -259,7 +259,7 @@
         .put(POINTER_KEY, row::encode(&pointer))
         .put(DOCUMENT_KEY, row::encode(document))
         .put(row::history_key(version), row::encode(&change));
-    match version.checked_sub(HISTORY_KEPT) {
+    match version.checked_sub(MAX_HISTORY_ROWS) {
         None | Some(0) => transaction,
         Some(old) => transaction.delete(row::history_key(old)),
     }
--- a/src/config/follow.rs
+++ b/src/config/follow.rs
@@ -2,7 +2,7 @@
 //! decision.
 //!
 //! A node acts by a document only while it knows that the document was current
-//! at most [`FRESH`] ago. It knows so by one of two things: the table said so,
+//! at most [`EVIDENCE_TTL`] ago. It knows so by one of two things: the table said so,
 //! to this node or to a peer that answers it; or the platform is down for most
 //! of the fleet, so that nothing newer can have been accepted. A node that
 //! knows neither (it is cut off, was paused, or has just started) refuses work.
@@ -25,13 +25,13 @@
 
 mod message;
 
-pub use message::{Action, Force, Input, Report};
+pub use message::{Action, InForce, Input, Report};
 
 /// How long evidence that a document is current lasts. A change is in force
 /// everywhere, or the node refuses work, within this time.
-pub const FRESH: Duration = Duration::from_secs(13);
+pub const EVIDENCE_TTL: Duration = Duration::from_secs(13);
 /// How often the small row is read while the table answers.
-pub const POLL: Duration = Duration::from_secs(6);
+pub const POLL_INTERVAL: Duration = Duration::from_secs(6);
 /// How soon it is read again when the table did not answer.
 const POLL_AGAIN: Duration = Duration::from_secs(1);
 /// Reads of the document are spread over this time, so that a fleet that hears
@@ -44,7 +44,7 @@
 /// A peer that was asked this lately is not asked again.
 const ASK_AGAIN: Duration = Duration::from_secs(3);
 /// Part of the fleet that is asked in one tick of a second: more than half of
-/// it answers well within [`FRESH`], and an outage costs a bounded traffic.
+/// it answers well within [`EVIDENCE_TTL`], and an outage costs a bounded traffic.
 const ASK_PART: usize = 16;
 /// Peers that are asked in one tick of a second even when the part is smaller.
 const ASK_LEAST: usize = 3;
@@ -57,7 +57,7 @@
 pub struct Follower {
     started: Time,
     spread: Duration,
-    force: Force,
+    force: InForce,
     newest: u64,
     announced: Option<(u64, Time)>,
     /// The latest time at which the table is known to have had `force.document`
@@ -84,7 +84,7 @@
         Self {
             started: now,
             spread: SPREAD.mul_f64(part),
-            force: Force {
+            force: InForce {
                 document: Arc::default(),
                 until: Time::ZERO,
             },
@@ -103,7 +103,7 @@
     }
 
     /// What is in force, if its time has not run out.
-    pub const fn force(&self) -> &Force {
+    pub const fn force(&self) -> &InForce {
         &self.force
     }
 
@@ -117,7 +117,7 @@
         let fresh = self
             .confirmed
             .map(|at| now.since(at))
-            .filter(|age| *age < FRESH);
+            .filter(|age| *age < EVIDENCE_TTL);
         Report {
             version: self.version(),
             newest: self.newest,
@@ -150,7 +150,7 @@
                 self.take_current(now, asked, document, actions);
             }
             Input::Announced(version) => self.announce(now, version),
-            Input::Heard(version) => self.heard(now, version),
+            Input::Mentioned(version) => self.heard(now, version),
             Input::Answered {
                 peer,
                 asked,
@@ -218,14 +218,14 @@
         let part = self.peers.len().div_ceil(ASK_PART).max(ASK_LEAST);
         for (_, name) in due.into_iter().take(part) {
             self.asked.insert(name.clone(), now);
-            actions.push(Action::Ask(name));
+            actions.push(Action::Query(name));
         }
     }
 
     fn polled(&mut self, now: Time, asked: Time, result: &Result<Option<Pointer>, Fault>) {
         self.polling = None;
         let Ok(found) = result else { return };
-        self.poll_at = asked + POLL;
+        self.poll_at = asked + POLL_INTERVAL;
         let Some(pointer) = found else { return };
         self.heard(now, pointer.version);
         self.confirm(pointer.version, asked);
@@ -340,7 +340,7 @@
         let Some(known) = by_table.max(by_peers) else {
             return;
         };
-        let until = known + FRESH;
+        let until = known + EVIDENCE_TTL;
         // A process that was here before may have acknowledged an announcement
         // that this one knows nothing of. Once that must have been accepted or
         // given up, evidence that nothing was accepted makes up for it.
--- a/src/config/follow/message.rs
+++ b/src/config/follow/message.rs
@@ -61,7 +61,7 @@
     /// node knows; see [`super::commit::Announce`].
     Announced(u64),
     /// Somebody mentioned a version, as gossip does.
-    Heard(u64),
+    Mentioned(u64),
     /// A peer answered a question.
     Answered {
         /// Which peer.
@@ -86,27 +86,27 @@
     /// Read the document.
     Fetch,
     /// Ask this peer for its [`Report`].
-    Ask(Name),
+    Query(Name),
     /// Ask this peer for its document.
     FetchFrom(Name),
     /// Publish what may be acted by.
-    Publish(Force),
+    Publish(InForce),
 }
 
 /// What may be acted by, and until when.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Force {
+pub struct InForce {
     /// The document in force.
     pub document: Arc<Document>,
     /// The end of its time, unless something newer is published before.
     pub until: Time,
 }
 
-impl Force {
+impl InForce {
     /// True while the document may be acted by. Whoever starts work asks this
     /// with the present time at that moment, so that a node that was paused
     /// stops at once.
-    pub fn holds(&self, now: Time) -> bool {
+    pub fn is_valid(&self, now: Time) -> bool {
         self.document.version > 0 && now < self.until
     }
 }
--- a/src/config/row.rs
+++ b/src/config/row.rs
@@ -16,7 +16,7 @@
 /// What the keys of history rows start with.
 pub const HISTORY_PREFIX: &str = "config/history/";
 /// Changes that are kept in history; older rows go with the next change.
-pub const HISTORY_KEPT: u64 = 10_000;
+pub const MAX_HISTORY_ROWS: u64 = 10_000;
 
 /// Names the current version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/src/config/watch.rs
+++ b/src/config/watch.rs
@@ -11,7 +11,7 @@
 
 use super::Document;
 use super::commit::{Announce, Reach};
-use super::follow::{Action, Follower, Force, Input, Report};
+use super::follow::{Action, Follower, InForce, Input, Report};
 use super::row::{self, DOCUMENT_KEY, POINTER_KEY, Pointer};
 use crate::clock::Clock;
 use crate::event;
@@ -71,7 +71,7 @@
     peers: P,
     clock: Clock,
     follower: RefCell<Follower>,
-    force: Arc<Cell<Force>>,
+    force: Arc<Cell<InForce>>,
 }
 
 impl<T, P> Clone for Watch<T, P> {
@@ -88,7 +88,7 @@
     P: Peers + 'static,
 {
     /// A watch that publishes to `force`; it starts with [`Watch::run`].
-    pub fn new(node: &str, table: T, peers: P, clock: Clock, force: Arc<Cell<Force>>) -> Self {
+    pub fn new(node: &str, table: T, peers: P, clock: Clock, force: Arc<Cell<InForce>>) -> Self {
         let follower = RefCell::new(Follower::new(clock.now(), node));
         Self {
             inner: Rc::new(Inner {
@@ -111,8 +111,8 @@
     }
 
     /// Notes that somebody mentioned a version.
-    pub fn hear(&self, version: u64) {
-        self.step(Input::Heard(version));
+    pub fn mention(&self, version: u64) {
+        self.step(Input::Mentioned(version));
     }
 
     /// Notes that a peer is about to commit a version. The peer may be told so
@@ -132,7 +132,7 @@
     }
 
     /// What is in force, if its time has not run out.
-    pub fn force(&self) -> Force {
+    pub fn force(&self) -> InForce {
         self.inner.follower.borrow().force().clone()
     }
 
@@ -158,7 +158,7 @@
             Action::Fetch => {
                 actix_rt::spawn(async move { watch.fetch().await });
             }
-            Action::Ask(peer) => {
+            Action::Query(peer) => {
                 actix_rt::spawn(async move {
                     let asked = watch.inner.clock.now();
                     if let Some(report) = watch.inner.peers.report(&peer).await {
@@ -180,7 +180,7 @@
         }
     }
 
-    fn publish(&self, force: Force) {
+    fn publish(&self, force: InForce) {
         let before = self.inner.force.read().document.version;
         let version = force.document.version;
         if version != before {
@@ -234,20 +234,23 @@
         let names = self.inner.peers.names();
         let total = names.len() + 1;
         self.announced(version);
-        let mut heard = 1;
+        let mut acknowledged = 1;
         let asking: FuturesUnordered<_> = names
             .iter()
             .map(|name| self.inner.peers.announce(name, version))
             .collect();
         let timeout = Box::pin(actix_rt::time::sleep(ANNOUNCE_TIMEOUT));
-        let mut acknowledged = asking.take_until(timeout);
-        while heard * 2 < total {
-            match acknowledged.next().await {
-                Some(true) => heard += 1,
+        let mut answers = asking.take_until(timeout);
+        while acknowledged * 2 < total {
+            match answers.next().await {
+                Some(true) => acknowledged += 1,
                 Some(false) => {}
                 None => break,
             }
         }
-        Reach { heard, total }
+        Reach {
+            acknowledged,
+            total,
+        }
     }
 }
--- a/src/dispatch/shell.rs
+++ b/src/dispatch/shell.rs
@@ -19,8 +19,8 @@
 use super::{Action, End, Id, Input, Load, Offer, Queue, Setting};
 use crate::clock::{Clock, Time, unix_millis};
 use crate::config::Document;
-use crate::config::follow::Force;
-use crate::connect::{self, Reachability};
+use crate::config::follow::InForce;
+use crate::connect::{self, Listener};
 use crate::endpoint::Target;
 use crate::event;
 use crate::gateway::Shared;
@@ -46,7 +46,7 @@
 /// The dispatchers of one thread.
 pub struct Shell {
     clock: Clock,
-    force: Arc<snapshot::Cell<Force>>,
+    force: Arc<snapshot::Cell<InForce>>,
     work: Work,
     phase: Arc<snapshot::Cell<Phase>>,
     quarantine: quarantine::Handle,
@@ -209,7 +209,7 @@
             // A gateway that has not heard yet that this node leaves: the
             // endpoint has another dispatcher.
             Some(Reason::NotReady)
-        } else if !force.holds(now) {
+        } else if !force.is_valid(now) {
             // What this node knows may be superseded: it starts nothing by it.
             Some(Reason::NotReady)
         } else if !force.document.endpoints.contains_key(&endpoint) {
--- a/src/edge.rs
+++ b/src/edge.rs
@@ -250,13 +250,13 @@
 fn tuning() -> Tuning {
     Tuning {
         tick: Duration::from_millis(50),
-        gossip: Duration::from_millis(100),
-        alone: Duration::from_millis(100),
-        reconnect: Duration::from_millis(500),
-        sync: Duration::from_secs(4),
-        period: Duration::from_millis(500),
-        answer: Duration::from_millis(200),
-        suspicion: Duration::from_millis(1_500),
+        gossip_interval: Duration::from_millis(100),
+        join_interval: Duration::from_millis(100),
+        reconnect_interval: Duration::from_millis(500),
+        sync_interval: Duration::from_secs(4),
+        probe_interval: Duration::from_millis(500),
+        probe_timeout: Duration::from_millis(200),
+        min_suspicion: Duration::from_millis(1_500),
         ..Tuning::default()
     }
 }
--- a/src/edge/front.rs
+++ b/src/edge/front.rs
@@ -157,7 +157,7 @@
     if let Some(refusal) = unknown(node) {
         return Err(Box::new(refusal));
     }
-    let catalog = node.catalog.take();
+    let catalog = node.catalog.load();
     let Some(config) = &catalog.config else {
         return Ok(Reader::Unrestricted);
     };
@@ -249,7 +249,7 @@
         log_turned_away(node, arrived, id.as_ref(), &parts, "not_ready", status);
         return refusal;
     }
-    let catalog = node.catalog.take();
+    let catalog = node.catalog.load();
     let Some(config) = catalog.config.clone() else {
         let refusal = call::error(StatusCode::SERVICE_UNAVAILABLE, "not ready");
         return turned_away("not_ready", refusal);
--- a/src/edge/learn.rs
+++ b/src/edge/learn.rs
@@ -23,7 +23,7 @@
 use crate::platform::endpoint::Unreadable;
 use crate::platform::{config, endpoint};
 use crate::snapshot::Cell;
-use crate::table::{Changes, Fault, Feed, Lapse, Snapshot};
+use crate::table::{Changes, Fault, Feed, FeedError, Snapshot};
 use crate::wire::query::{Query, Reply};
 
 /// How long a feed waits for a change. A connection that went silent is noticed
@@ -102,9 +102,9 @@
             feed.snapshot(table).await.map(Update::Snapshot)
         } else {
             match feed.changes(table, known, FEED_WAIT).await {
-                Ok(changes) => Ok(Update::Changes(changes)),
-                Err(Lapse::Fault(fault)) => Err(fault),
-                Err(Lapse::Gone) => {
+                Ok(changes) => Ok(News::Changes(changes)),
+                Err(FeedError::Fault(fault)) => Err(fault),
+                Err(FeedError::Gone) => {
                     log::info!("{} table={table} gap_after={known}", event::STORE_REGAINED);
                     whole = true;
                     continue;
--- a/src/edge/roster.rs
+++ b/src/edge/roster.rs
@@ -12,7 +12,7 @@
 
 use crate::event;
 use crate::member::TABLE;
-use crate::table::{Fault, Feed, Lapse, Roster, Table, Transaction, Vm};
+use crate::table::{Fault, Feed, FeedError, Roster, Table, Transaction, Vm};
 
 /// Least pause before the store is asked again to take this node's row; up to
 /// twice as long, so that nodes which start together don't ask together.
@@ -99,7 +99,7 @@
 
     /// The list with what changed since it was read. At 295 nodes the whole one
     /// is long, and each node reads it several times.
-    async fn read_changes(&self, mut known: Known) -> Result<Known, Lapse> {
+    async fn read_changes(&self, mut known: Known) -> Result<Known, FeedError> {
         let wait = Duration::ZERO;
         let changes = self.store.changes(TABLE, known.version, wait).await?;
         known.version = changes.version;
@@ -136,8 +136,8 @@
             None => self.read_all().await?,
             Some(known) => match self.read_changes(known).await {
                 Ok(known) => known,
-                Err(Lapse::Gone) => self.read_all().await?,
-                Err(Lapse::Fault(fault)) => return Err(fault),
+                Err(FeedError::Gone) => self.read_all().await?,
+                Err(FeedError::Fault(fault)) => return Err(fault),
             },
         };
         let vms = known.vms.values().cloned().collect();
--- a/src/embedded/platform.rs
+++ b/src/embedded/platform.rs
@@ -18,7 +18,7 @@
 use crate::table::fault::Command;
 use crate::table::memory::Platform;
 use crate::table::protocol::{
-    Answer, CALL_PATH, COUNTS_PATH, Call, Exchange as _, FAULT_PATH, MAX_BODY,
+    Answer, CALL_PATH, COUNTS_PATH, Call, FAULT_PATH, MAX_BODY, Transport as _,
 };
 
 const CBOR: &str = "application/cbor";
--- a/src/feed/desk.rs
+++ b/src/feed/desk.rs
@@ -12,7 +12,7 @@
 use super::shelf::Shelf;
 use crate::clock::{Clock, Time, Uptime};
 use crate::event;
-use crate::table::{Fault, Feed, Lapse};
+use crate::table::{Fault, Feed, FeedError};
 
 /// How long a call to the store waits for a change. Short, because those who
 /// ask take a silent reader for lost, and 1 s old knowledge for doubtful.
@@ -139,8 +139,8 @@
                     followed.shelf.borrow_mut().add(now, changes);
                     topic.gap
                 }
-                Err(Lapse::Gone) => break "history_dropped",
-                Err(Lapse::Fault(fault)) => {
+                Err(FeedError::Gone) => break "history_dropped",
+                Err(FeedError::Fault(fault)) => {
                     followed.shelf.borrow_mut().fail(self.clock.now());
                     match fault {
                         Fault::Refused { retry_after } => retry_after,
--- a/src/feed/source.rs
+++ b/src/feed/source.rs
@@ -15,7 +15,7 @@
 use crate::member::View;
 use crate::name::Name;
 use crate::snapshot::Cell;
-use crate::table::{self, Changes, Feed, Lapse, Snapshot};
+use crate::table::{self, Changes, Feed, FeedError, Snapshot};
 use crate::wire::query::{Query, Reply};
 
 /// Longest wait for a reader's answer: it answers within 0.8 s, and a link delay
@@ -140,7 +140,12 @@
         self.store.snapshot(table).await
     }
 
-    async fn changes(&self, table: &str, version: u64, wait: Duration) -> Result<Changes, Lapse> {
+    async fn changes(
+        &self,
+        table: &str,
+        version: u64,
+        wait: Duration,
+    ) -> Result<Changes, FeedError> {
         if let Some(changes) = self.ask(table, version).await {
             return Ok(changes);
         }
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -14,7 +14,7 @@
 use tokio::sync::{mpsc, watch};
 
 use crate::clock::{Clock, Time, unix_millis};
-use crate::config::follow::Force;
+use crate::config::follow::InForce;
 use crate::config::{Document, Kind};
 use crate::dispatch::Handle;
 use crate::event;
@@ -61,7 +61,7 @@
     /// The monotonic clock.
     pub clock: Clock,
     /// The configuration that may be acted by.
-    pub force: Arc<snapshot::Cell<Force>>,
+    pub force: Arc<snapshot::Cell<InForce>>,
     /// The members.
     pub view: Arc<snapshot::Cell<View>>,
     /// The dispatchers of this node.
@@ -90,7 +90,7 @@
     /// [`Reason::NotReady`] with when to come back.
     pub fn config(&self) -> Result<Arc<Document>, Refusal> {
         let force = self.force.read();
-        if force.holds(self.clock.now()) {
+        if force.is_valid(self.clock.now()) {
             return Ok(Arc::clone(&force.document));
         }
         Err(Refusal::new(Reason::NotReady).after(NOT_READY_RETRY))
--- a/src/lease.rs
+++ b/src/lease.rs
@@ -19,7 +19,7 @@
 use crate::config::row;
 use crate::table::{Expect, Fault, Row, Transaction};
 
-pub mod keep;
+pub mod elector;
 mod message;
 
 pub use message::{Action, Held, Input, Record, Setting, Token};
--- a/src/lease/keep.rs
+++ b/src/lease/elector.rs
@@ -14,7 +14,7 @@
 
 /// Keeps one claim on the control thread. Clones are handles to the same claim.
 #[derive(Debug)]
-pub struct Keeper<T> {
+pub struct Elector<T> {
     inner: Rc<Inner<T>>,
 }
 
@@ -26,7 +26,7 @@
     claim: RefCell<Claim>,
 }
 
-impl<T> Clone for Keeper<T> {
+impl<T> Clone for Elector<T> {
     fn clone(&self) -> Self {
         Self {
             inner: Rc::clone(&self.inner),
@@ -34,11 +34,11 @@
     }
 }
 
-impl<T> Keeper<T>
+impl<T> Elector<T>
 where
     T: Table + 'static,
 {
-    /// A keeper that starts with [`Keeper::run`].
+    /// An elector that starts with [`Elector::run`].
     pub fn new(table: T, clock: Clock, setting: Setting) -> Self {
         Self {
             inner: Rc::new(Inner {
@@ -78,19 +78,19 @@
     }
 
     fn act(&self, action: Action) {
-        let keeper = self.clone();
+        let elector = self.clone();
         let key = &self.inner.key;
         match action {
             Action::Read(token) => {
                 actix_rt::spawn(async move {
-                    let result = keeper.inner.table.get(&keeper.inner.key).await;
-                    keeper.step(Input::Read { token, result });
+                    let result = elector.inner.table.get(&elector.inner.key).await;
+                    elector.step(Input::Read { token, result });
                 });
             }
             Action::Write(token, transaction) => {
                 actix_rt::spawn(async move {
-                    let result = keeper.inner.table.transact(transaction).await;
-                    keeper.step(Input::Wrote { token, result });
+                    let result = elector.inner.table.transact(transaction).await;
+                    elector.step(Input::Wrote { token, result });
                 });
             }
             Action::Gained(epoch) => {
--- a/src/leave.rs
+++ b/src/leave.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Work {
     /// Questions that came from callers and are not answered.
-    pub questions: usize,
+    pub requests: usize,
     /// Requests admitted to endpoints for other nodes.
     pub dispatched: usize,
     /// Chunks of batch jobs that are held.
@@ -45,7 +45,7 @@
     /// SIGTERM, the first SIGINT, or an operator's Drain.
     Stop,
     /// A second SIGINT: a person at a terminal will not wait.
-    Hurry,
+    ForceStop,
     /// Time passed, and this is going on.
     Tick(Work),
 }
@@ -64,26 +64,26 @@
     /// again, with pauses, while chunks are still held.
     ReleaseChunks,
     /// Refuse new questions as not run: use another address.
-    RefuseQuestions,
+    RejectRequests,
     /// Give everything in flight its final answer now.
-    CutOff,
+    AbortAll,
     /// Tell the members goodbye and end the process.
-    Exit(Ending),
+    Exit(Summary),
 }
 
 /// How it ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ending {
+pub struct Summary {
     /// Questions and dispatched requests that were cut short.
-    pub cut: usize,
+    pub aborted: usize,
     /// Chunks whose leases could not be given up; they run out by themselves.
     pub chunks: usize,
 }
 
-impl Ending {
+impl Summary {
     /// True when nobody was harmed.
     pub const fn is_clean(self) -> bool {
-        self.cut == 0
+        self.aborted == 0
     }
 }
 
@@ -91,32 +91,32 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Times {
     /// How long until every node knows that this one is leaving.
-    pub spread: Duration,
-    /// How long callers may keep an address; see [`crate::locate::KEEP`].
-    pub keep: Duration,
+    pub propagation: Duration,
+    /// How long callers may keep an address; see [`crate::locate::ADDRESS_TTL`].
+    pub address_ttl: Duration,
     /// How long running items of held chunks may take to end.
-    pub items: Duration,
+    pub item_grace: Duration,
     /// Time between attempts to give chunks up.
-    pub retry: Duration,
+    pub release_interval: Duration,
     /// How long a node with nothing but chunks waits for the platform. Their
     /// leases run out anyway; a longer wait gains nothing.
-    pub release: Duration,
+    pub release_timeout: Duration,
     /// Longest time from the stop until what is in flight is cut off.
     pub limit: Duration,
     /// How long final answers may take to reach their callers.
-    pub answers: Duration,
+    pub flush_grace: Duration,
 }
 
 impl Default for Times {
     fn default() -> Self {
         Self {
-            spread: Duration::from_secs(3),
-            keep: crate::locate::KEEP,
-            items: Duration::from_secs(5),
-            retry: Duration::from_secs(2),
-            release: Duration::from_secs(20),
+            propagation: Duration::from_secs(3),
+            address_ttl: crate::locate::ADDRESS_TTL,
+            item_grace: Duration::from_secs(5),
+            release_interval: Duration::from_secs(2),
+            release_timeout: Duration::from_secs(20),
             limit: Duration::from_secs(120),
-            answers: Duration::from_secs(1),
+            flush_grace: Duration::from_secs(1),
         }
     }
 }
@@ -133,7 +133,7 @@
     /// When giving up chunks was tried last.
     released: Option<Time>,
     /// When and how much was cut off.
-    cut: Option<(Time, usize)>,
+    aborted: Option<(Time, usize)>,
 }
 
 impl Leave {
@@ -145,7 +145,7 @@
             stopped: Time::ZERO,
             idle: None,
             released: None,
-            cut: None,
+            aborted: None,
         }
     }
 
@@ -161,12 +161,15 @@
                 self.phase = Phase::Serving;
                 Vec::new()
             }
-            (Phase::Starting, Input::Stop | Input::Hurry) => {
+            (Phase::Starting, Input::Stop | Input::ForceStop) => {
                 // Nobody was told of this node, so there is nobody to tell.
-                self.end(Ending { cut: 0, chunks: 0 })
+                self.end(Summary {
+                    aborted: 0,
+                    chunks: 0,
+                })
             }
-            (Phase::Serving, Input::Stop | Input::Hurry) => self.begin(now),
-            (Phase::Leaving | Phase::Closing, Input::Hurry) => {
+            (Phase::Serving, Input::Stop | Input::ForceStop) => self.begin(now),
+            (Phase::Leaving | Phase::Closing, Input::ForceStop) => {
                 self.stopped = now - self.times.limit;
                 Vec::new()
             }
@@ -197,55 +200,56 @@
         let mut actions = Vec::new();
         let passed = now.since(self.stopped);
         self.release(now, work, passed, &mut actions);
-        if self.phase == Phase::Leaving && passed >= self.times.spread + self.times.keep {
+        if self.phase == Phase::Leaving && passed >= self.times.propagation + self.times.address_ttl
+        {
             // Whoever comes now holds the address longer than it was told. Were
             // it served on and on, the node could never end.
             self.phase = Phase::Closing;
-            actions.push(Action::RefuseQuestions);
+            actions.push(Action::RejectRequests);
         }
-        let running = work.questions + work.dispatched;
+        let running = work.requests + work.dispatched;
         if self.phase != Phase::Cutting && passed >= self.times.limit {
             self.phase = Phase::Cutting;
-            self.cut = Some((now, running));
-            actions.push(Action::RefuseQuestions);
-            actions.push(Action::CutOff);
+            self.aborted = Some((now, running));
+            actions.push(Action::RejectRequests);
+            actions.push(Action::AbortAll);
             return actions;
         }
-        if let Some(ending) = self.ending(now, work, running) {
-            actions.extend(self.end(ending));
+        if let Some(summary) = self.summary(now, work, running) {
+            actions.extend(self.end(summary));
         }
         actions
     }
 
     /// Gives chunks up once their running items ended or had their time.
     fn release(&mut self, now: Time, work: Work, passed: Duration, actions: &mut Vec<Action>) {
-        let ready = work.items == 0 || passed >= self.times.items;
+        let ready = work.items == 0 || passed >= self.times.item_grace;
         let due = self
             .released
-            .is_none_or(|last| now.since(last) >= self.times.retry);
+            .is_none_or(|last| now.since(last) >= self.times.release_interval);
         if work.chunks > 0 && ready && due {
             self.released = Some(now);
             actions.push(Action::ReleaseChunks);
         }
     }
 
-    fn ending(&mut self, now: Time, work: Work, running: usize) -> Option<Ending> {
+    fn summary(&mut self, now: Time, work: Work, running: usize) -> Option<Summary> {
         let chunks = work.chunks;
-        if let Some((at, cut)) = self.cut {
-            let over = running == 0 && chunks == 0 || now.since(at) >= self.times.answers;
-            return over.then_some(Ending { cut, chunks });
+        if let Some((at, aborted)) = self.aborted {
+            let over = running == 0 && chunks == 0 || now.since(at) >= self.times.flush_grace;
+            return over.then_some(Summary { aborted, chunks });
         }
         if self.phase != Phase::Closing || running > 0 {
             self.idle = None;
             return None;
         }
         let idle = *self.idle.get_or_insert(now);
-        let waited = now.since(idle) >= self.times.release;
-        (chunks == 0 || waited).then_some(Ending { cut: 0, chunks })
+        let waited = now.since(idle) >= self.times.release_timeout;
+        (chunks == 0 || waited).then_some(Summary { aborted: 0, chunks })
     }
 
-    fn end(&mut self, ending: Ending) -> Vec<Action> {
+    fn end(&mut self, summary: Summary) -> Vec<Action> {
         self.phase = Phase::Ended;
-        vec![Action::Exit(ending)]
+        vec![Action::Exit(summary)]
     }
 }
--- a/src/locate.rs
+++ b/src/locate.rs
@@ -12,12 +12,12 @@
 use crate::name::Name;
 use crate::outcome::{Reason, Refusal};
 
-/// How long an answer may be kept, before [`Answer::keep`] shortens it. A node
+/// How long an answer may be kept, before [`Answer::ttl`] shortens it. A node
 /// that leaves answers callers for this long after its last mention, so a
 /// longer time makes each planned stop longer.
-pub const KEEP: Duration = Duration::from_secs(10);
+pub const ADDRESS_TTL: Duration = Duration::from_secs(10);
 /// Addresses named when the caller does not say how many.
-pub const COUNT: usize = 3;
+pub const DEFAULT_COUNT: usize = 3;
 /// Most addresses named.
 pub const MAX_COUNT: usize = 16;
 /// When to ask again while there is no node to name.
@@ -32,7 +32,7 @@
     /// As ip:port, nearest first.
     pub addresses: Vec<Name>,
     /// How long they may be kept.
-    pub keep: Duration,
+    pub ttl: Duration,
 }
 
 /// The region of a zone: its name up to the last dash, so that `muscat-1` and
@@ -79,11 +79,11 @@
     }
     let local = stays_local(view, &candidates, zone, ticket);
     candidates.sort_by(|a, b| by_preference(a, b, local));
-    let count = if count == 0 { COUNT } else { count };
+    let count = if count == 0 { DEFAULT_COUNT } else { count };
     let chosen = choose(&candidates, count.min(MAX_COUNT));
     Ok(Answer {
         addresses: chosen.iter().map(|c| c.member.address.clone()).collect(),
-        keep: keep(ticket),
+        ttl: jittered_ttl(ticket),
     })
 }
 
@@ -175,10 +175,10 @@
     chosen
 }
 
-/// [`KEEP`] less up to a fifth, so that callers who asked at the same moment,
+/// [`ADDRESS_TTL`] less up to a fifth, so that callers who asked at the same moment,
 /// as after a failure, don't ask at the same moment for ever.
-fn keep(ticket: u64) -> Duration {
-    let fifth = u64::try_from(KEEP.as_millis() / 5).unwrap_or_default();
+fn jittered_ttl(ticket: u64) -> Duration {
+    let fifth = u64::try_from(ADDRESS_TTL.as_millis() / 5).unwrap_or_default();
     let less = xxh3_64_with_seed(b"keep", ticket) % (fifth + 1);
-    KEEP.saturating_sub(Duration::from_millis(less))
+    ADDRESS_TTL.saturating_sub(Duration::from_millis(less))
 }
--- a/src/member.rs
+++ b/src/member.rs
@@ -11,10 +11,10 @@
 use crate::name::Name;
 use crate::table::Vm;
 
+pub mod broadcast;
 pub mod gossip;
 pub mod probe;
 pub mod record;
-pub mod rumour;
 pub mod shell;
 pub mod tuning;
 
--- a/src/member/gossip.rs
+++ b/src/member/gossip.rs
@@ -9,9 +9,9 @@
 use rand::seq::IndexedRandom;
 use rand_chacha::ChaCha8Rng;
 
+use super::broadcast::Queue;
 use super::probe::Prober;
 use super::record::Record;
-use super::rumour::Queue;
 use super::tuning::Tuning;
 use super::{Member, State, View};
 use crate::clock::Time;
@@ -88,7 +88,7 @@
         value: Bytes,
     },
     /// A member seems to be in another state than before; for log and counters.
-    Became {
+    StateChanged {
         /// The member.
         name: Name,
         /// Its state.
@@ -194,7 +194,7 @@
             due: Due {
                 gossip: now,
                 probe: now,
-                sync: now + tuning.sync,
+                sync: now + tuning.sync_interval,
                 reconnect: now,
                 ask: now,
             },
@@ -249,12 +249,12 @@
     }
 
     /// When a member last spoke to this node.
-    pub fn heard(&self, name: &str) -> Option<Time> {
+    pub fn last_contact(&self, name: &str) -> Option<Time> {
         self.entries.get(name).map(|entry| entry.heard)
     }
 
     /// Number of news items that this node still has to send.
-    pub fn rumours(&self) -> usize {
+    pub fn pending_updates(&self) -> usize {
         self.rumours.len()
     }
 
@@ -284,10 +284,8 @@
     fn send(&mut self, to: SocketAddr, body: Body, first: Vec<Update>, actions: &mut Vec<Action>) {
         let taken: usize = first.iter().map(Update::size).sum();
         let budget = usize::try_from(self.budget).unwrap_or(usize::MAX);
-        let room = (MAX_DATAGRAM_BYTES - MAX_HEAD_BYTES)
-            .saturating_sub(taken)
-            .min(budget);
-        let limit = self.tuning.sends(self.living());
+        let room = (MAX_DATAGRAM - HEAD_ROOM).saturating_sub(taken).min(budget);
+        let limit = self.tuning.retransmit_limit(self.living());
         let mut updates = first;
         if matches!(body, Body::Ping { .. } | Body::Ack { .. } | Body::Gossip) {
             updates.extend(self.rumours.take(room, limit));
--- a/src/member/gossip/learn.rs
+++ b/src/member/gossip/learn.rs
@@ -53,7 +53,7 @@
             let version = known.record.member.config_version;
             record.member.config_version = record.member.config_version.max(version);
         }
-        let wait = self.tuning.suspicion(self.living());
+        let wait = self.tuning.suspicion_timeout(self.living());
         let entry = Entry {
             heard: known.map_or(now, |entry| entry.heard),
             since: now,
@@ -61,11 +61,11 @@
             record,
             control,
         };
-        self.prints.insert(entry.record.print(), name.clone());
+        self.prints.insert(entry.record.fingerprint(), name.clone());
         self.entries.insert(name.clone(), entry);
         if before != Some(state) {
             let name = name.clone();
-            actions.push(Action::Became { name, state });
+            actions.push(Action::StateChanged { name, state });
         }
         actions.push(Action::Publish);
         true
@@ -123,7 +123,7 @@
     /// Marks a member that did not answer, unless it is known to be leaving:
     /// that it leaves must not be forgotten because it is slow.
     pub(super) fn suspect(&mut self, now: Time, name: &Name, actions: &mut Vec<Action>) {
-        let wait = self.tuning.suspicion(self.living());
+        let wait = self.tuning.suspicion_timeout(self.living());
         let Some(entry) = self.entries.get_mut(name) else {
             return;
         };
@@ -155,7 +155,7 @@
             return;
         }
         self.me.member.config_version = version;
-        self.rumours.push(in_force(self.me.print(), version));
+        self.rumours.push(in_force(self.me.fingerprint(), version));
         self.learn_committed(version);
         actions.push(Action::Publish);
     }
@@ -176,7 +176,7 @@
             return;
         }
         member.config_version = version;
-        let update = in_force(entry.record.print(), version);
+        let update = in_force(entry.record.fingerprint(), version);
         self.rumours.push(update);
         actions.push(Action::Publish);
     }
@@ -191,7 +191,10 @@
                 continue;
             };
             let boot = self.entries.get(&name).map(|entry| entry.record.boot);
-            let current = self.entries.get(&name).map(|entry| entry.record.print());
+            let current = self
+                .entries
+                .get(&name)
+                .map(|entry| entry.record.fingerprint());
             if let Some(boot) = boot.filter(|_| current == Some(print)) {
                 self.learn_in_force(&name, boot, version, actions);
             }
--- a/src/member/gossip/schedule.rs
+++ b/src/member/gossip/schedule.rs
@@ -21,13 +21,13 @@
         let gap = now.since(self.last_step);
         self.last_step = now;
         self.refill(gap);
-        if gap <= self.tuning.pause() {
+        if gap <= self.tuning.pause_threshold() {
             return;
         }
         self.prober.forget();
         self.rumours.drop_accusations();
         self.last_heard = now;
-        self.due.probe = now + self.tuning.period;
+        self.due.probe = now + self.tuning.probe_interval;
         for entry in self.entries.values_mut() {
             entry.deadline = entry.deadline.map(|deadline| deadline + gap);
         }
@@ -40,31 +40,31 @@
             u64::try_from(earned).unwrap_or(u64::MAX)
         };
         let Tuning {
-            rate,
+            byte_rate,
             burst,
-            direct,
+            direct_rate,
             direct_burst,
             ..
         } = self.tuning;
-        self.budget = self.budget.saturating_add(earned(rate)).min(burst);
-        let left = self.direct_budget.saturating_add(earned(direct));
+        self.budget = self.budget.saturating_add(earned(byte_rate)).min(burst);
+        let left = self.direct_budget.saturating_add(earned(direct_rate));
         self.direct_budget = left.min(direct_burst);
     }
 
     pub(super) fn tick(&mut self, now: Time, actions: &mut Vec<Action>) {
         self.ask_for_help(now, actions);
         if now >= self.due.probe {
-            self.due.probe = now + self.tuning.period;
+            self.due.probe = now + self.tuning.probe_interval;
             self.end_probe(now, actions);
             self.begin_probe(now, actions);
         }
         self.expire(now, actions);
         if now >= self.due.gossip {
-            self.due.gossip = now + self.tuning.gossip;
+            self.due.gossip = now + self.tuning.gossip_interval;
             self.spread(actions);
         }
         if now >= self.due.sync {
-            self.due.sync = now + self.tuning.sync;
+            self.due.sync = now + self.tuning.sync_interval;
             self.compare(actions);
         }
         self.introduce(actions);
@@ -94,14 +94,14 @@
     /// One lost datagram, or a path that is cut between just two nodes, must
     /// not make a healthy member look dead.
     fn ask_for_help(&mut self, now: Time, actions: &mut Vec<Action>) {
-        let Some(probe) = self.prober.needs_help(now, self.tuning.answer) else {
+        let Some(probe) = self.prober.needs_help(now, self.tuning.probe_timeout) else {
             return;
         };
         let Some(entry) = self.entries.get(&probe.name) else {
             return;
         };
         let address = entry.record.member.control.clone();
-        for (_, helper) in self.some_peers(self.tuning.helpers, Some(&probe.name)) {
+        for (_, helper) in self.some_peers(self.tuning.indirect_probes, Some(&probe.name)) {
             let body = Body::Probe {
                 seq: probe.seq,
                 to: probe.name.clone(),
@@ -117,7 +117,7 @@
         };
         // Whoever hears nothing at all has lost its own network. Accusing the
         // others one by one would make them all object for nothing.
-        let isolation = self.tuning.isolation(self.living());
+        let isolation = self.tuning.isolation_timeout(self.living());
         let silent = self.last_heard < probe.at;
         if silent && now.since(self.last_heard) < isolation {
             return;
@@ -136,7 +136,7 @@
         for name in late {
             self.bury(now, &name, actions);
         }
-        let memory = self.tuning.memory;
+        let memory = self.tuning.dead_retention;
         let before = self.entries.len();
         self.entries.retain(|_, entry| {
             entry.record.member.state != State::Dead || now.since(entry.since) < memory
@@ -146,8 +146,8 @@
             self.prints.retain(|_, name| entries.contains_key(name));
             actions.push(Action::Publish);
         }
-        self.prober.expire(now, self.tuning.period);
-        let kept = self.tuning.note;
+        self.prober.expire(now, self.tuning.probe_interval);
+        let kept = self.tuning.note_retention;
         self.notes.retain(|_, (_, at)| now.since(*at) < kept);
     }
 
@@ -188,7 +188,7 @@
         }
         self.me.member.state = State::Leaving;
         self.rumours.push(Update::Record(self.me.clone()));
-        self.due.gossip = now + self.tuning.gossip;
+        self.due.gossip = now + self.tuning.gossip_interval;
         self.spread(actions);
         actions.push(Action::Publish);
     }
--- a/src/member/gossip/sync.rs
+++ b/src/member/gossip/sync.rs
@@ -69,9 +69,9 @@
     pub(super) fn reconnect(&mut self, now: Time, actions: &mut Vec<Action>) {
         let alone = self.peers().next().is_none();
         let wait = if alone {
-            self.tuning.alone
+            self.tuning.join_interval
         } else {
-            self.tuning.reconnect
+            self.tuning.reconnect_interval
         };
         self.due.reconnect = now + wait;
         let living: Vec<SocketAddr> = self.peers().map(|entry| entry.control).collect();
--- a/src/member/record.rs
+++ b/src/member/record.rs
@@ -60,7 +60,7 @@
     ///
     /// Two of 330 members share one with a chance of one in 10^14, and then the
     /// status of a change names the wrong one of them for a moment.
-    pub fn print(&self) -> u64 {
+    pub fn fingerprint(&self) -> u64 {
         xxh3_64_with_seed(self.member.name.as_bytes(), self.boot)
     }
 
--- a/src/member/shell.rs
+++ b/src/member/shell.rs
@@ -373,7 +373,7 @@
                 Action::Direct { from, topic, value } => {
                     self.emit(Event::Direct { from, topic, value });
                 }
-                Action::Became { name, state } => self.count_state(&name, state),
+                Action::StateChanged { name, state } => self.count_state(&name, state),
                 Action::Refuted => {
                     self.counts.refuted.inc();
                     log::warn!("{}", event::MEMBER_REFUTED);
--- a/src/node.rs
+++ b/src/node.rs
@@ -16,14 +16,14 @@
 use tokio::sync::{mpsc, watch};
 
 use crate::clock::{Clock, Time};
-use crate::config::follow::Force;
+use crate::config::follow::InForce;
 use crate::dispatch::Handle;
 use crate::event;
 use crate::gateway::Shared;
 use crate::http;
 use crate::job::runner;
 use crate::kernel::{Kernel, Missing};
-use crate::leave::{self, Action, Ending, Input, Leave, Phase, Times};
+use crate::leave::{self, Action, Input, Leave, Phase, Summary, Times};
 use crate::member::shell::{Counts, Setup};
 use crate::member::tuning::Tuning;
 use crate::member::{Member, State, View};
@@ -56,7 +56,7 @@
 
 /// Names under which services register with the kernel.
 pub mod service {
-    /// [`crate::snapshot::Cell`] of [`crate::config::follow::Force`].
+    /// [`crate::snapshot::Cell`] of [`crate::config::follow::InForce`].
     pub const CONFIG: &str = "config";
     /// [`crate::snapshot::Cell`] of [`crate::member::View`].
     pub const VIEW: &str = "view";
@@ -280,7 +280,7 @@
     let view = View {
         members: vec![own.clone()],
     };
-    let force = Force {
+    let force = InForce {
         document: Arc::default(),
         until: Time::ZERO,
     };
@@ -380,7 +380,7 @@
     where
         H: Future<Output = ()>,
     {
-        let in_flight = self.work().questions;
+        let in_flight = self.work().requests;
         log::info!("{} in_flight={in_flight}", event::NODE_LEAVING);
         let mut leave = Leave::new(self.times(limit));
         let mut hurry = pin!(hurry);
@@ -401,7 +401,7 @@
                 () = actix_rt::time::sleep(STOP_POLL) => {}
                 () = &mut hurry, if !hurried => {
                     hurried = true;
-                    inputs.push(Input::Hurry);
+                    inputs.push(Input::ForceStop);
                 }
             }
         }
@@ -418,8 +418,8 @@
             return times;
         }
         Times {
-            spread: Duration::ZERO,
-            keep: Duration::ZERO,
+            propagation: Duration::ZERO,
+            address_ttl: Duration::ZERO,
             ..times
         }
     }
@@ -429,7 +429,7 @@
         let ended = self.stop.batch_ended.try_recv();
         let held = ended == Err(mpsc::error::TryRecvError::Empty);
         leave::Work {
-            questions: self.shared.questions.count(),
+            requests: self.shared.questions.count(),
             dispatched: self.shared.dispatched.count(),
             chunks: usize::from(held),
             items: 0,
@@ -437,7 +437,7 @@
     }
 
     /// Does what leaving demands; an ending when the node is to exit.
-    fn act(&self, action: Action) -> Option<Ending> {
+    fn act(&self, action: Action) -> Option<Summary> {
         match action {
             Action::Announce => self.services.members.leave(),
             Action::StopClaiming => {
@@ -446,10 +446,10 @@
             // The dispatchers see the phase, and the batch thread gives back
             // its chunks by itself once it is stopped.
             Action::HandOver | Action::ReleaseChunks => {}
-            Action::RefuseQuestions => {
+            Action::RejectRequests => {
                 let _ = self.stop.callers.send(true);
             }
-            Action::CutOff => {
+            Action::AbortAll => {
                 let _ = self.stop.cut.send(true);
             }
             Action::Exit(ending) => return Some(ending),
@@ -457,14 +457,14 @@
         None
     }
 
-    async fn exit(self, ending: Ending) {
+    async fn exit(self, ending: Summary) {
         self.services.members.exit().await;
         // The last answers may still lie in the sockets' buffers.
         actix_rt::time::sleep(FLUSH).await;
         for arbiter in self.arbiters {
             arbiter.stop();
         }
-        let Ending { cut, chunks } = ending;
-        log::info!("{} cut={cut} chunks={chunks}", event::NODE_STOPPED);
+        let Summary { aborted, chunks } = ending;
+        log::info!("{} cut={aborted} chunks={chunks}", event::NODE_STOPPED);
     }
 }
--- a/src/node/assign.rs
+++ b/src/node/assign.rs
@@ -32,7 +32,7 @@
 pub async fn follow(shared: Shared, assignment: Arc<Cell<Assignment>>) {
     let mut known = None;
     loop {
-        let view = shared.view.take();
+        let view = shared.view.load();
         // Without a configuration that may be acted by nothing new is claimed.
         let config = shared.config().unwrap_or_default();
         let usable: Vec<Name> = view.usable().map(|member| member.name.clone()).collect();
--- a/src/node/control.rs
+++ b/src/node/control.rs
@@ -154,7 +154,7 @@
     async fn listen(self: Rc<Self>, mut events: mpsc::Receiver<Event>, shares: Rc<Shares>) {
         while let Some(event) = events.recv().await {
             match event {
-                Event::Committed(version) => self.watch.hear(version),
+                Event::Committed(version) => self.watch.mention(version),
                 Event::Note(note) => self.take_note(&note),
                 Event::Direct { from, topic, value } => shares.receive(&from, topic, &value),
                 Event::Replaced => {
@@ -225,7 +225,7 @@
     async fn tell_version(self: Rc<Self>) {
         let mut told = 0;
         loop {
-            let force = self.shared.force.take();
+            let force = self.shared.force.load();
             let version = force.document.version;
             if version > told {
                 told = version;
@@ -264,7 +264,7 @@
     pub async fn loads(&self) -> Vec<(Name, Loads)> {
         let here = self.shared.dispatch.board.all();
         let mut all = vec![(self.shared.node.clone(), here)];
-        let view = self.shared.view.take();
+        let view = self.shared.view.load();
         let peers = view
             .usable()
             .filter(|member| member.name != self.shared.node);
--- a/src/permit/owner.rs
+++ b/src/permit/owner.rs
@@ -85,7 +85,7 @@
 
     /// The member that keeps a pool, as far as this node knows.
     pub fn owner(&mut self, pool: &Name) -> Option<SocketAddr> {
-        let view = self.view.take();
+        let view = self.view.load();
         if self
             .seen
             .as_ref()
--- a/src/placement/run.rs
+++ b/src/placement/run.rs
@@ -10,11 +10,11 @@
 
 use super::{Action, Failure, Input, ORDER_TIMEOUT, Planner, contends};
 use crate::clock::{Clock, Time};
-use crate::config::follow::Force;
+use crate::config::follow::InForce;
 use crate::event;
 use crate::http;
 use crate::lease::Setting;
-use crate::lease::keep::Keeper;
+use crate::lease::elector::Elector;
 use crate::locate::region;
 use crate::member::View;
 use crate::name::Name;
@@ -38,7 +38,7 @@
     /// The monotonic clock.
     pub clock: Clock,
     /// The configuration that may be acted by.
-    pub force: Arc<Cell<Force>>,
+    pub force: Arc<Cell<InForce>>,
     /// The members.
     pub view: Arc<Cell<View>>,
 }
@@ -56,7 +56,7 @@
         site.node.clone(),
         site.nonce,
     );
-    let keeper = Keeper::new(platform.clone(), site.clock, setting);
+    let keeper = Elector::new(platform.clone(), site.clock, setting);
     let placer = Placer::new(region, keeper.clone(), platform, site.clock, site.force);
     actix_rt::spawn(keeper.clone().run());
     actix_rt::spawn(placer.clone().run());
@@ -75,10 +75,10 @@
 }
 
 struct Inner<T, W> {
-    keeper: Keeper<T>,
+    keeper: Elector<T>,
     weight: W,
     clock: Clock,
-    force: Arc<Cell<Force>>,
+    force: Arc<Cell<InForce>>,
     http: awc::Client,
     planner: RefCell<Planner>,
 }
@@ -100,10 +100,10 @@
     /// [`Placer::run`]. It acts only by a configuration that is in force.
     pub fn new(
         region: Name,
-        keeper: Keeper<T>,
+        keeper: Elector<T>,
         weight: W,
         clock: Clock,
-        force: Arc<Cell<Force>>,
+        force: Arc<Cell<InForce>>,
     ) -> Self {
         Self {
             inner: Rc::new(Inner {
@@ -121,9 +121,9 @@
     pub async fn run(self) {
         let mut version = 0;
         loop {
-            let force = self.inner.force.take();
+            let force = self.inner.force.load();
             let now = self.inner.clock.now();
-            let holds = force.holds(now);
+            let holds = force.is_valid(now);
             if holds && force.document.version != version {
                 version = force.document.version;
                 self.step(Input::Document(Arc::clone(&force.document)));
--- a/src/platform/store/feed.rs
+++ b/src/platform/store/feed.rs
@@ -8,7 +8,7 @@
 use super::row::RowsAnswer;
 use super::{Client, PAGE, Range, behind, escape, parse, unexpected, value_of};
 use crate::clock::Uptime;
-use crate::table::{Change, Changes, Fault, Feed, Lapse, Row, Snapshot};
+use crate::table::{Change, Changes, Fault, Feed, FeedError, Row, Snapshot};
 
 /// How much longer than it should wait a feed may take. A connection that went
 /// silent is found within this, so that a node learns of a leaving endpoint in
@@ -63,7 +63,12 @@
         }
     }
 
-    async fn changes(&self, table: &str, version: u64, wait: Duration) -> Result<Changes, Lapse> {
+    async fn changes(
+        &self,
+        table: &str,
+        version: u64,
+        wait: Duration,
+    ) -> Result<Changes, FeedError> {
         let asked = Uptime::now();
         let path = format!(
             "/-/rows-feed?table={}&after={version}&wait_ms={}",
@@ -73,13 +78,13 @@
         let answer = self
             .call(Method::GET, &path, Bytes::new(), wait + FEED_SLACK)
             .await
-            .map_err(Lapse::Fault)?;
+            .map_err(FeedError::Fault)?;
         match answer.status {
             StatusCode::OK => {}
-            StatusCode::GONE => return Err(Lapse::Gone),
-            status => return Err(Lapse::Fault(unexpected(&path, status))),
+            StatusCode::GONE => return Err(FeedError::Gone),
+            status => return Err(FeedError::Fault(unexpected(&path, status))),
         }
-        let answer: RowsAnswer = parse(&path, &answer.body).map_err(Lapse::Fault)?;
+        let answer: RowsAnswer = parse(&path, &answer.body).map_err(FeedError::Fault)?;
         let mut changes = Changes {
             changes: Vec::with_capacity(answer.rows.len()),
             version: answer.ver,
@@ -93,7 +98,7 @@
             let value = if entry.removed {
                 None
             } else {
-                Some(value_of(&path, &entry.value).map_err(Lapse::Fault)?)
+                Some(value_of(&path, &entry.value).map_err(FeedError::Fault)?)
             };
             changes.changes.push(Change {
                 key: entry.key,
--- a/src/pool/serve.rs
+++ b/src/pool/serve.rs
@@ -219,7 +219,7 @@
     }
 
     fn step(&mut self, now: Time, name: &Name, mut actions: Vec<Action>) {
-        let catalog = self.catalog.take();
+        let catalog = self.catalog.load();
         let Some(pool) = self.by_name.get_mut(name) else {
             return;
         };
--- a/src/rpc/operator.rs
+++ b/src/rpc/operator.rs
@@ -128,7 +128,7 @@
     let Some(loads) = loads.await else {
         return busy();
     };
-    let config = shared.force.take();
+    let config = shared.force.load();
     let view = shared.view.read();
     let statuses = config.document.endpoints.values().map(|endpoint| {
         let dispatcher = route::dispatcher(&view, &endpoint.name, &endpoint.zone);
--- a/src/rpc/server.rs
+++ b/src/rpc/server.rs
@@ -228,7 +228,7 @@
         match locate::locate(&view, here, &ask.zone, count, ticket) {
             Ok(answer) => Outcome::Done(v1::LocateResponse {
                 addresses: answer.addresses.iter().map(ToString::to_string).collect(),
-                keep_ms: u32::try_from(answer.keep.as_millis()).unwrap_or(u32::MAX),
+                keep_ms: u32::try_from(answer.ttl.as_millis()).unwrap_or(u32::MAX),
             }),
             Err(refusal) => Outcome::NotRun(refusal),
         }
--- a/src/snapshot.rs
+++ b/src/snapshot.rs
@@ -28,7 +28,7 @@
     }
 
     /// The newest snapshot, to be kept across an await.
-    pub fn take(&self) -> Arc<T> {
+    pub fn load(&self) -> Arc<T> {
         self.current.load_full()
     }
 
--- a/src/table.rs
+++ b/src/table.rs
@@ -246,7 +246,7 @@
 
 /// Why a feed gave no changes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Lapse {
+pub enum FeedError {
     /// The history behind that version was dropped; take a new snapshot.
     Gone,
     /// The store did not answer as it should.
@@ -265,8 +265,13 @@
     /// Waits up to `wait` for changes after `version`.
     ///
     /// # Errors
-    /// [`Lapse::Gone`] when the changes can't be told any more.
-    async fn changes(&self, table: &str, version: u64, wait: Duration) -> Result<Changes, Lapse>;
+    /// [`FeedError::Gone`] when the changes can't be told any more.
+    async fn changes(
+        &self,
+        table: &str,
+        version: u64,
+        wait: Duration,
+    ) -> Result<Changes, FeedError>;
 }
 
 /// The object store. An object never changes once it is there: names carry
--- a/src/table/fault.rs
+++ b/src/table/fault.rs
@@ -1,6 +1,6 @@
 //! Limits and injected faults of the platform's stand-in, as a pure decision.
 //!
-//! [`Gate::ask`] says for each operation whether it is refused, delayed, or
+//! [`Injector::decide`] says for each operation whether it is refused, delayed, or
 //! loses its answer. Everything that is random comes from one seed, so that a
 //! failure found in a test can be replayed.
 
@@ -99,7 +99,7 @@
 
 /// What an operation asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ask<'a> {
+pub enum Operation<'a> {
     /// So many reads.
     Read(u32),
     /// Writes of these keys.
@@ -110,32 +110,32 @@
 
 /// What becomes of an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Decision {
     /// It is refused before any effect.
     Refuse {
         /// When to come back.
         retry_after: Duration,
     },
     /// It has no effect and gets no answer.
-    Silence,
+    NoAnswer,
     /// It goes on after a delay.
-    Go {
+    Proceed {
         /// The delay before its effect.
         delay: Duration,
         /// What becomes of its effect and its answer.
-        fate: Fate,
+        fate: Delivery,
     },
 }
 
 /// What becomes of a write and its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum Delivery {
     /// Both arrive.
     Answered,
     /// It takes effect and the answer is lost.
-    LostAfter,
+    AnswerLost,
     /// It is lost before it takes effect.
-    LostBefore,
+    RequestLost,
 }
 
 /// A hard token bucket; a rate of 0 admits everything.
@@ -192,7 +192,7 @@
 
 /// Decides the fate of each operation.
 #[derive(Debug)]
-pub struct Gate {
+pub struct Injector {
     random: ChaCha8Rng,
     outage_until: Option<Time>,
     silent: bool,
@@ -205,7 +205,7 @@
     lose_before: f64,
 }
 
-impl Gate {
+impl Injector {
     /// A gate without faults or limits.
     pub fn new(now: Time, seed: u64) -> Self {
         Self {
@@ -271,36 +271,36 @@
     }
 
     /// Says what becomes of one operation.
-    pub fn ask(&mut self, now: Time, ask: Ask<'_>) -> Verdict {
+    pub fn decide(&mut self, now: Time, ask: Operation<'_>) -> Decision {
         if self.outage_until.is_some_and(|until| now < until) {
             return if self.silent {
-                Verdict::Silence
+                Decision::NoAnswer
             } else {
-                Verdict::Refuse {
+                Decision::Refuse {
                     retry_after: OUTAGE_RETRY,
                 }
             };
         }
         let taken = match ask {
-            Ask::Read(count) => self.reads.take(now, f64::from(count)),
-            Ask::Write(keys) => self.writes.take(now, keys.len().max(1) as f64),
-            Ask::Other => Ok(()),
+            Operation::Read(count) => self.reads.take(now, f64::from(count)),
+            Operation::Write(keys) => self.writes.take(now, keys.len().max(1) as f64),
+            Operation::Other => Ok(()),
         };
         if let Err(retry_after) = taken {
-            return Verdict::Refuse { retry_after };
+            return Decision::Refuse { retry_after };
         }
         let jitter = self.jitter.mul_f64(self.random.random::<f64>());
         let fate = match ask {
-            Ask::Write(keys) => self.fate(keys),
-            Ask::Read(_) | Ask::Other => Fate::Answered,
+            Operation::Write(keys) => self.fate(keys),
+            Operation::Read(_) | Operation::Other => Delivery::Answered,
         };
-        Verdict::Go {
+        Decision::Proceed {
             delay: self.slow + jitter,
             fate,
         }
     }
 
-    fn fate(&mut self, keys: &[&str]) -> Fate {
+    fn fate(&mut self, keys: &[&str]) -> Delivery {
         let lost = self
             .losses
             .iter_mut()
@@ -316,9 +316,9 @@
                 .then(|| self.random.random_bool(self.lose_before))
         });
         match lost {
-            Some(true) => Fate::LostBefore,
-            Some(false) => Fate::LostAfter,
-            None => Fate::Answered,
+            Some(true) => Delivery::RequestLost,
+            Some(false) => Delivery::AnswerLost,
+            None => Delivery::Answered,
         }
     }
 }
--- a/src/table/http.rs
+++ b/src/table/http.rs
@@ -12,7 +12,7 @@
 use awc::error::SendRequestError;
 use bytes::Bytes;
 
-use super::protocol::{Answer, CALL_PATH, Call, Exchange, MAX_BODY, Value};
+use super::protocol::{Answer, CALL_PATH, Call, MAX_BODY, Transport, Value};
 use super::{Fault, Vm};
 use crate::http;
 
@@ -61,7 +61,7 @@
     }
 }
 
-impl Exchange for Client {
+impl Transport for Client {
     async fn call(&self, call: Call) -> Answer {
         let mut body = Vec::with_capacity(256);
         // A call is made of plain data, so that writing it can't fail.
--- a/src/table/memory.rs
+++ b/src/table/memory.rs
@@ -2,7 +2,7 @@
 //! stand-in program and for tests.
 //!
 //! Clones share one state and may be used from several threads. Faults and
-//! limits go through [`super::fault::Gate`]; without commands there are none.
+//! limits go through [`super::fault::Injector`]; without commands there are none.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,8 +11,8 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-use super::fault::{Ask, Bucket, Command, Fate, Gate, Verdict};
-use super::protocol::{Answer, Call, Exchange, Value};
+use super::fault::{Bucket, Command, Decision, Delivery, Injector, Operation};
+use super::protocol::{Answer, Call, Transport, Value};
 use super::{Expect, Fault, Page, Row, Transaction, Vm, Write};
 use crate::clock::{Clock, Time};
 use crate::name::Name;
@@ -26,7 +26,7 @@
 
 /// Reads and writes of keys that share their first part.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Use {
+pub struct Usage {
     /// Rows written or removed, and objects stored or removed.
     pub writes: u64,
     /// Reads as the limits count them.
@@ -55,7 +55,7 @@
     /// Loads that the weight store refused.
     pub load_refused: u64,
     /// By the part of the key before its first `/`.
-    pub by_prefix: BTreeMap<String, Use>,
+    pub by_prefix: BTreeMap<String, Usage>,
 }
 
 /// Where the present time comes from.
@@ -68,7 +68,7 @@
 #[derive(Debug)]
 struct State {
     source: Source,
-    gate: Gate,
+    gate: Injector,
     rows: BTreeMap<String, (u64, Bytes)>,
     objects: BTreeMap<String, Bytes>,
     version: u64,
@@ -102,7 +102,7 @@
         Self {
             state: Arc::new(Mutex::new(State {
                 source,
-                gate: Gate::new(now, seed),
+                gate: Injector::new(now, seed),
                 rows: BTreeMap::new(),
                 objects: BTreeMap::new(),
                 version: 0,
@@ -144,7 +144,7 @@
     }
 }
 
-impl Exchange for Platform {
+impl Transport for Platform {
     async fn call(&self, call: Call) -> Answer {
         let (verdict, real) = {
             let mut state = self.lock();
@@ -152,14 +152,14 @@
             (verdict, matches!(state.source, Source::Real(_)))
         };
         match verdict {
-            Verdict::Refuse { retry_after } => Err(Fault::Refused { retry_after }),
-            Verdict::Silence => {
+            Decision::Refuse { retry_after } => Err(Fault::Refused { retry_after }),
+            Decision::NoAnswer => {
                 if real {
                     actix_rt::time::sleep(SILENCE).await;
                 }
                 Err(Fault::Unknown)
             }
-            Verdict::Go { delay, fate } => {
+            Decision::Proceed { delay, fate } => {
                 if real && !delay.is_zero() {
                     actix_rt::time::sleep(delay).await;
                 }
@@ -216,15 +216,15 @@
         self.lists.push_back((now, list));
     }
 
-    fn judge(&mut self, call: &Call) -> Verdict {
+    fn judge(&mut self, call: &Call) -> Decision {
         let now = self.source.now();
         let verdict = match call {
             Call::Transact(transaction) => {
                 let keys: Vec<&str> = transaction.writes.iter().map(Write::key).collect();
-                self.gate.ask(now, Ask::Write(&keys))
+                self.gate.decide(now, Operation::Write(&keys))
             }
             Call::PutObject { name, .. } | Call::DeleteObject { name } => {
-                self.gate.ask(now, Ask::Write(&[name]))
+                self.gate.decide(now, Operation::Write(&[name]))
             }
             Call::Get { key } => self.read(now, key, 1),
             Call::GetObject { name } => self.read(now, name, 1),
@@ -237,24 +237,26 @@
                 let reads = rows.div_ceil(ROWS_A_READ).max(1);
                 self.read(now, prefix, u32::try_from(reads).unwrap_or(u32::MAX))
             }
-            Call::List | Call::Admit { .. } | Call::Register(_) => self.gate.ask(now, Ask::Other),
+            Call::List | Call::Admit { .. } | Call::Register(_) => {
+                self.gate.decide(now, Operation::Other)
+            }
         };
-        if matches!(verdict, Verdict::Refuse { .. }) {
+        if matches!(verdict, Decision::Refuse { .. }) {
             self.counts.refused += 1;
         }
         verdict
     }
 
-    fn read(&mut self, now: Time, key: &str, reads: u32) -> Verdict {
-        let verdict = self.gate.ask(now, Ask::Read(reads));
-        if matches!(verdict, Verdict::Go { .. }) {
+    fn read(&mut self, now: Time, key: &str, reads: u32) -> Decision {
+        let verdict = self.gate.decide(now, Operation::Read(reads));
+        if matches!(verdict, Decision::Proceed { .. }) {
             self.counts.reads += u64::from(reads);
             self.used(key).reads += u64::from(reads);
         }
         verdict
     }
 
-    fn used(&mut self, key: &str) -> &mut Use {
+    fn used(&mut self, key: &str) -> &mut Usage {
         let part = key.split('/').next().unwrap_or_default();
         self.counts.by_prefix.entry(part.to_owned()).or_default()
     }
@@ -264,15 +266,15 @@
         self.used(key).writes += 1;
     }
 
-    fn apply(&mut self, call: Call, fate: Fate) -> Answer {
-        if fate != Fate::Answered {
+    fn apply(&mut self, call: Call, fate: Delivery) -> Answer {
+        if fate != Delivery::Answered {
             self.counts.lost += 1;
         }
-        if fate == Fate::LostBefore {
+        if fate == Delivery::RequestLost {
             return Err(Fault::Unknown);
         }
         let answer = self.effect(call);
-        if fate == Fate::LostAfter {
+        if fate == Delivery::AnswerLost {
             return Err(Fault::Unknown);
         }
         answer
--- a/src/table/protocol.rs
+++ b/src/table/protocol.rs
@@ -84,7 +84,7 @@
 
 /// Whatever carries a call to the platform. Each carrier is a [`Table`], a
 /// [`Store`], a [`Roster`] and a [`Weight`].
-pub trait Exchange {
+pub trait Transport {
     /// Does one operation.
     ///
     /// # Errors
@@ -105,7 +105,7 @@
 
 impl<E> Table for E
 where
-    E: Exchange,
+    E: Transport,
 {
     async fn transact(&self, transaction: Transaction) -> Result<u64, Fault> {
         let answer = self.call(Call::Transact(transaction)).await;
@@ -129,7 +129,7 @@
 
 impl<E> Store for E
 where
-    E: Exchange,
+    E: Transport,
 {
     async fn put(&self, name: &str, value: Bytes) -> Result<(), Fault> {
         let name = name.to_owned();
@@ -149,7 +149,7 @@
 
 impl<E> Roster for E
 where
-    E: Exchange,
+    E: Transport,
 {
     async fn list(&self) -> Result<Vec<Vm>, Fault> {
         expect!(self.call(Call::List).await, Value::List(list) => list)
@@ -158,7 +158,7 @@
 
 impl<E> Weight for E
 where
-    E: Exchange,
+    E: Transport,
 {
     async fn admit(&self, model: &str) -> Result<(), Fault> {
         let model = model.to_owned();
--- a/standin/src/members.rs
+++ b/standin/src/members.rs
@@ -274,7 +274,7 @@
     let died = sum(nodes, |counts| counts.died.get());
     arbiters[THREADS].stop();
     let begun = Instant::now();
-    drop(victim.view.take());
+    drop(victim.view.load());
     let dead = |node: &Node| node.view.read().find(&name).map(|m| m.state) == Some(State::Dead);
     until(|| others.iter().any(dead)).await?;
     report.death_first_ms = millis(begun);
--- a/tests/config_check.rs
+++ b/tests/config_check.rs
@@ -48,7 +48,10 @@
 #[gtest]
 fn document_round_trip() {
     let document = check::document(&config()).unwrap();
-    expect_that!(document.services["pay"].deadline_ms, eq(check::DEADLINE_MS));
+    expect_that!(
+        document.services["pay"].deadline_ms,
+        eq(check::DEFAULT_DEADLINE_MS)
+    );
     expect_that!(document.organisations["bank"].weight, eq(1));
     let again = check::document(&convert::to_schema(&document)).unwrap();
     expect_that!(again, eq(&document));
--- a/tests/config_commit.rs
+++ b/tests/config_commit.rs
@@ -16,7 +16,10 @@
 
 impl Announce for Everybody {
     async fn announce(&self, _version: u64) -> Reach {
-        Reach { heard: 3, total: 3 }
+        Reach {
+            acknowledged: 3,
+            total: 3,
+        }
     }
 }
 
@@ -25,7 +28,10 @@
 
 impl Announce for Few {
     async fn announce(&self, _version: u64) -> Reach {
-        Reach { heard: 2, total: 5 }
+        Reach {
+            acknowledged: 2,
+            total: 5,
+        }
     }
 }
 
@@ -117,7 +123,10 @@
     async fn announce(&self, _version: u64) -> Reach {
         let rival = operator(&self.0);
         rival.apply_service(stamp(99), edit("rival")).await.unwrap();
-        Reach { heard: 1, total: 1 }
+        Reach {
+            acknowledged: 1,
+            total: 1,
+        }
     }
 }
 
@@ -293,7 +302,7 @@
         let operator = operator(&platform);
         operator.apply(stamp(1), apply(0, &["a"])).await.unwrap();
         let mut document = operator.get().await.unwrap();
-        document.version = row::HISTORY_KEPT;
+        document.version = row::MAX_HISTORY_ROWS;
         let pointer = row::Pointer {
             version: document.version,
             change: 1,
--- a/tests/config_follow/fleet.rs
+++ b/tests/config_follow/fleet.rs
@@ -7,7 +7,7 @@
 
 use auburnspoke::clock::Time;
 use auburnspoke::config::Document;
-use auburnspoke::config::follow::{Action, FRESH, Follower, Input};
+use auburnspoke::config::follow::{Action, EVIDENCE_TTL, Follower, Input};
 use auburnspoke::config::row::Pointer;
 use auburnspoke::name::Name;
 use auburnspoke::table::Fault;
@@ -148,7 +148,7 @@
     pub fn work(&mut self, at: usize) {
         let (now, node) = (self.now, &mut self.nodes[at]);
         let force = node.follower.force();
-        if !force.holds(now) {
+        if !force.is_valid(now) {
             return;
         }
         self.worked += 1;
@@ -161,7 +161,7 @@
         if let Some(superseded) = self.commits.get(usize::try_from(version).unwrap()) {
             let late = now.since(*superseded);
             assert!(
-                late <= FRESH,
+                late <= EVIDENCE_TTL,
                 "n{at} acted by version {version} {late:?} too late"
             );
         }
@@ -218,7 +218,9 @@
                     let result = self.table(at).map(|version| Some(document(version)));
                     self.send(at, Mail::Input(Input::Fetched { asked, result }));
                 }
-                Action::Ask(peer) => self.between(at, index(&peer), Mail::Ask { from: at, asked }),
+                Action::Query(peer) => {
+                    self.between(at, index(&peer), Mail::Ask { from: at, asked })
+                }
                 Action::FetchFrom(peer) => {
                     self.between(at, index(&peer), Mail::FetchFrom { from: at });
                 }
@@ -299,7 +301,7 @@
     pub fn versions(&self) -> Vec<u64> {
         let forces = self.nodes.iter().map(|node| node.follower.force());
         let held = forces.map(|force| {
-            if force.holds(self.now) {
+            if force.is_valid(self.now) {
                 force.document.version
             } else {
                 0
--- a/tests/feed_fleet.rs
+++ b/tests/feed_fleet.rs
@@ -18,7 +18,7 @@
 use auburnspoke::member::{Member, View};
 use auburnspoke::name::Name;
 use auburnspoke::snapshot::Cell;
-use auburnspoke::table::{Change, Changes, Fault, Feed, Lapse, Snapshot};
+use auburnspoke::table::{Change, Changes, Fault, Feed, FeedError, Snapshot};
 use auburnspoke::wire::query::{Query, Reply};
 use googletest::prelude::*;
 use tokio::sync::Notify;
@@ -115,8 +115,8 @@
         _: &str,
         version: u64,
         wait: Duration,
-    ) -> std::result::Result<Changes, Lapse> {
-        self.call().await.map_err(Lapse::Fault)?;
+    ) -> std::result::Result<Changes, FeedError> {
+        self.call().await.map_err(FeedError::Fault)?;
         let changed = self.store.changed.notified();
         tokio::pin!(changed);
         changed.as_mut().enable();
--- a/tests/feed_source.rs
+++ b/tests/feed_source.rs
@@ -17,7 +17,7 @@
 use auburnspoke::member::{Member, View};
 use auburnspoke::name::Name;
 use auburnspoke::snapshot::Cell;
-use auburnspoke::table::{Change, Changes, Fault, Feed, Lapse, Snapshot};
+use auburnspoke::table::{Change, Changes, Fault, Feed, FeedError, Snapshot};
 use auburnspoke::wire::query::{Query, Reply};
 use googletest::prelude::*;
 
@@ -33,7 +33,12 @@
         Ok(Snapshot::default())
     }
 
-    async fn changes(&self, _: &str, _: u64, _: Duration) -> std::result::Result<Changes, Lapse> {
+    async fn changes(
+        &self,
+        _: &str,
+        _: u64,
+        _: Duration,
+    ) -> std::result::Result<Changes, FeedError> {
         Ok(changes(&[], STORE_VERSION))
     }
 }
--- a/tests/lease_claim.rs
+++ b/tests/lease_claim.rs
@@ -6,7 +6,7 @@
 
 use auburnspoke::clock::{Clock, Time};
 use auburnspoke::config::row;
-use auburnspoke::lease::keep::Keeper;
+use auburnspoke::lease::elector::Elector;
 use auburnspoke::lease::{Action, Claim, Input, Record, Setting};
 use auburnspoke::table::fault::Command;
 use auburnspoke::table::memory::Platform;
@@ -385,7 +385,7 @@
     actix_rt::System::new().block_on(async {
         let table = Platform::new(1);
         let setting = Setting::new("a", "n1".into(), 1);
-        let keeper = Keeper::new(table.clone(), Clock::start(), setting);
+        let keeper = Elector::new(table.clone(), Clock::start(), setting);
         actix_rt::spawn(keeper.clone().run());
         keeper.contend(true);
         for _ in 0..200 {
--- a/tests/leave_phase.rs
+++ b/tests/leave_phase.rs
@@ -3,10 +3,13 @@
 use std::time::Duration;
 
 use auburnspoke::clock::Time;
-use auburnspoke::leave::{Action, Ending, Input, Leave, Phase, Times, Work};
+use auburnspoke::leave::{Action, Input, Leave, Phase, Summary, Times, Work};
 use googletest::prelude::*;
 
-const CLEAN: Ending = Ending { cut: 0, chunks: 0 };
+const CLEAN: Summary = Summary {
+    aborted: 0,
+    chunks: 0,
+};
 
 /// A node in virtual time.
 struct Node {
@@ -50,7 +53,7 @@
         done.find(|(_, a)| *a == action).map(|(at, _)| *at)
     }
 
-    fn ending(&self) -> Option<(u64, Ending)> {
+    fn ending(&self) -> Option<(u64, Summary)> {
         self.done.iter().find_map(|(at, action)| match action {
             Action::Exit(ending) => Some((*at, *ending)),
             _ => None,
@@ -74,7 +77,7 @@
         ]
     );
     node.run(60);
-    expect_that!(node.when(Action::RefuseQuestions), some(eq(13_000)));
+    expect_that!(node.when(Action::RejectRequests), some(eq(13_000)));
     expect_that!(node.ending(), some(eq((13_000, CLEAN))));
     expect_that!(node.leave.phase(), eq(Phase::Ended));
 }
@@ -85,7 +88,7 @@
 fn stop_waits_for_what_is_in_flight() {
     for work in [
         Work {
-            questions: 1,
+            requests: 1,
             ..Work::default()
         },
         Work {
@@ -152,7 +155,10 @@
         .iter()
         .filter(|(_, a)| *a == Action::ReleaseChunks);
     expect_that!(tries.count(), all![gt(10), lt(25)]);
-    let ending = Ending { cut: 0, chunks: 3 };
+    let ending = Summary {
+        aborted: 0,
+        chunks: 3,
+    };
     expect_that!(node.ending(), some(eq((33_000, ending))));
     expect_that!(ending.is_clean(), eq(true));
 }
@@ -162,13 +168,13 @@
 #[gtest]
 fn stop_twice_changes_nothing() {
     let mut node = Node::serving();
-    node.work.questions = 1;
+    node.work.requests = 1;
     for _ in 0..10 {
         node.input(Input::Stop);
         node.run(2);
     }
     expect_that!(node.done.len(), eq(4));
-    node.work.questions = 0;
+    node.work.requests = 0;
     node.run(1);
     expect_that!(node.ending(), some(eq((20_100, CLEAN))));
 }
@@ -177,15 +183,15 @@
 #[gtest]
 fn hurry_cuts_off_at_once() {
     let mut node = Node::serving();
-    node.work.questions = 2;
+    node.work.requests = 2;
     node.input(Input::Stop);
     node.run(1);
-    node.input(Input::Hurry);
+    node.input(Input::ForceStop);
     node.run(3);
-    expect_that!(node.when(Action::CutOff), some(eq(1_100)));
+    expect_that!(node.when(Action::AbortAll), some(eq(1_100)));
     let (at, ending) = node.ending().unwrap();
     expect_that!(at, eq(2_100));
-    expect_that!(ending.cut, eq(2));
+    expect_that!(ending.aborted, eq(2));
     expect_that!(ending.is_clean(), eq(false));
 }
 
@@ -205,11 +211,14 @@
 #[gtest]
 fn stop_beyond_its_limit_cuts_off() {
     let mut node = Node::serving();
-    node.work.questions = 1;
+    node.work.requests = 1;
     node.input(Input::Stop);
     node.run(130);
-    expect_that!(node.when(Action::CutOff), some(eq(120_000)));
-    let ending = Ending { cut: 1, chunks: 0 };
+    expect_that!(node.when(Action::AbortAll), some(eq(120_000)));
+    let ending = Summary {
+        aborted: 1,
+        chunks: 0,
+    };
     expect_that!(node.ending(), some(eq((121_000, ending))));
 }
 
@@ -221,6 +230,6 @@
     node.input(Input::Stop);
     node.now += Duration::from_secs(60);
     node.run(1);
-    expect_that!(node.when(Action::RefuseQuestions), some(eq(60_100)));
+    expect_that!(node.when(Action::RejectRequests), some(eq(60_100)));
     expect_that!(node.ending(), some(eq((60_100, CLEAN))));
 }
--- a/tests/locate_answer.rs
+++ b/tests/locate_answer.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use auburnspoke::locate::{KEEP, locate, region};
+use auburnspoke::locate::{ADDRESS_TTL, locate, region};
 use auburnspoke::member::{Member, State, View};
 use auburnspoke::outcome::Reason;
 use googletest::prelude::*;
@@ -180,10 +180,10 @@
 fn locate_keep_is_spread_and_bounded() {
     let view = view(&[("a-1", 3)]);
     let keeps: Vec<Duration> = (0..1_000)
-        .map(|ticket| locate(&view, "a-1", "a-1", 3, ticket).unwrap().keep)
+        .map(|ticket| locate(&view, "a-1", "a-1", 3, ticket).unwrap().ttl)
         .collect();
-    expect_that!(keeps, each(le(&KEEP)));
-    expect_that!(keeps, each(ge(&(KEEP * 4 / 5))));
+    expect_that!(keeps, each(le(&ADDRESS_TTL)));
+    expect_that!(keeps, each(ge(&(ADDRESS_TTL * 4 / 5))));
     let mut different = keeps;
     different.sort();
     different.dedup();
--- a/tests/member/net.rs
+++ b/tests/member/net.rs
@@ -299,7 +299,7 @@
         let mut found = Vec::new();
         for node in self.nodes.values() {
             for (at, action) in &node.actions {
-                if let Action::Became { name, state: s } = action
+                if let Action::StateChanged { name, state: s } = action
                     && *s == state
                     && *at >= since
                 {
--- a/tests/member_shell.rs
+++ b/tests/member_shell.rs
@@ -176,7 +176,7 @@
 #[actix_rt::test]
 async fn receive_rubbish_counts_and_changes_nothing() {
     let a = node("a", Vec::new(), List::default()).await;
-    let before = a.view.take();
+    let before = a.view.load();
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     for bytes in [&[][..], &[1], &[1, 0xff, 0], &[2, 0xa0], &[1; 1_300], &[0]] {
         socket.send_to(bytes, a.control).await.unwrap();
@@ -186,5 +186,5 @@
     expect_that!(a.counts.wrong_version.get(), eq(2));
     expect_that!(a.counts.too_long.get(), eq(1));
     expect_that!(a.counts.sent.get(), eq(0));
-    expect_that!(*a.view.take(), eq(&*before));
+    expect_that!(*a.view.load(), eq(&*before));
 }
--- a/tests/placement_http.rs
+++ b/tests/placement_http.rs
@@ -9,12 +9,12 @@
 
 use actix_http::{Method, StatusCode};
 use auburnspoke::clock::{Clock, Time};
-use auburnspoke::config::follow::Force;
+use auburnspoke::config::follow::InForce;
 use auburnspoke::config::{Document, check};
 use auburnspoke::http;
 use auburnspoke::lease::Setting;
-use auburnspoke::lease::keep::Keeper;
-use auburnspoke::order::{Model, ORDER_PATH, Order, Role, State};
+use auburnspoke::lease::elector::Elector;
+use auburnspoke::order::{Load, ORDER_PATH, Order, Role, State};
 use auburnspoke::placement::Failure;
 use auburnspoke::placement::run::{Placer, read, send};
 use auburnspoke::rpc::v1;
@@ -144,13 +144,13 @@
     actix_rt::System::new().block_on(async {
         let (checking, plain) = (Engine::start(true), Engine::start(false));
         let clock = Clock::start();
-        let force = Force {
+        let force = InForce {
             document: Arc::new(document(&[&checking, &plain])),
             until: Time::MAX,
         };
         let platform = Platform::new(1);
         let setting = Setting::new("placement/muscat", "n1".into(), 1);
-        let keeper = Keeper::new(platform.clone(), clock, setting);
+        let keeper = Elector::new(platform.clone(), clock, setting);
         actix_rt::spawn(keeper.clone().run());
         keeper.contend(true);
         let force = Arc::new(Cell::new(force));
