--- a/src/dispatch/shell.rs
+++ b/src/dispatch/shell.rs
@@ -20,7 +20,7 @@
 use crate::clock::{Clock, Time, unix_millis};
 use crate::config::Document;
 use crate::config::follow::InForce;
-use crate::connect::{self, Listener};
+use crate::connect::{self, Reachability};
 use crate::endpoint::Target;
 use crate::event;
 use crate::gateway::Shared;
--- a/src/edge/learn.rs
+++ b/src/edge/learn.rs
@@ -102,7 +102,7 @@
             feed.snapshot(table).await.map(Update::Snapshot)
         } else {
             match feed.changes(table, known, FEED_WAIT).await {
-                Ok(changes) => Ok(News::Changes(changes)),
+                Ok(changes) => Ok(Update::Changes(changes)),
                 Err(FeedError::Fault(fault)) => Err(fault),
                 Err(FeedError::Gone) => {
                     log::info!("{} table={table} gap_after={known}", event::STORE_REGAINED);
--- a/src/member/gossip.rs
+++ b/src/member/gossip.rs
@@ -284,7 +284,9 @@
     fn send(&mut self, to: SocketAddr, body: Body, first: Vec<Update>, actions: &mut Vec<Action>) {
         let taken: usize = first.iter().map(Update::size).sum();
         let budget = usize::try_from(self.budget).unwrap_or(usize::MAX);
-        let room = (MAX_DATAGRAM - HEAD_ROOM).saturating_sub(taken).min(budget);
+        let room = (MAX_DATAGRAM_BYTES - MAX_HEAD_BYTES)
+            .saturating_sub(taken)
+            .min(budget);
         let limit = self.tuning.retransmit_limit(self.living());
         let mut updates = first;
         if matches!(body, Body::Ping { .. } | Body::Ack { .. } | Body::Gossip) {
--- a/tests/placement_http.rs
+++ b/tests/placement_http.rs
@@ -14,7 +14,7 @@
 use auburnspoke::http;
 use auburnspoke::lease::Setting;
 use auburnspoke::lease::elector::Elector;
-use auburnspoke::order::{Load, ORDER_PATH, Order, Role, State};
+use auburnspoke::order::{Model, ORDER_PATH, Order, Role, State};
 use auburnspoke::placement::Failure;
 use auburnspoke::placement::run::{Placer, read, send};
 use auburnspoke::rpc::v1;
