--- a/src/edge/learn.rs
+++ b/src/edge/learn.rs
@@ -102,8 +102,8 @@
         } else {
             match feed.changes(table, last_version, FEED_TIMEOUT).await {
                 Ok(changes) => Ok(Update::Changes(changes)),
-                Err(Lapse::Fault(fault)) => Err(fault),
-                Err(Lapse::Gone) => {
+                Err(FeedError::Fault(fault)) => Err(fault),
+                Err(FeedError::Gone) => {
                     log::info!(
                         "{} table={table} gap_after={last_version}",
                         event::STORE_REGAINED
--- a/src/edge/roster.rs
+++ b/src/edge/roster.rs
@@ -99,7 +99,7 @@
 
     /// Updates a list with the changes since it was read. With 295 nodes a full read is large,
     /// and each node reads the list several times.
-    async fn read_changes(&self, mut rows: Rows) -> Result<Rows, Lapse> {
+    async fn read_changes(&self, mut rows: Rows) -> Result<Rows, FeedError> {
         let wait = Duration::ZERO;
         let changes = self.store.changes(TABLE, rows.version, wait).await?;
         rows.version = changes.version;
@@ -135,8 +135,8 @@
             None => self.read_all().await?,
             Some(rows) => match self.read_changes(rows).await {
                 Ok(rows) => rows,
-                Err(Lapse::Gone) => self.read_all().await?,
-                Err(Lapse::Fault(fault)) => return Err(fault),
+                Err(FeedError::Gone) => self.read_all().await?,
+                Err(FeedError::Fault(fault)) => return Err(fault),
             },
         };
         let vms = rows.vms.values().cloned().collect();
