--- a/src/batch.rs
+++ b/src/batch.rs
@@ -1,17 +1,16 @@
-//! Batch jobs: accepted once, run whenever the endpoints have room, and read at
-//! any node.
+//! Batch jobs: a job is accepted exactly once, its items run when endpoints have spare capacity,
+//! and its results can be read at any node.
 //!
-//! A job is an object with its items and one row that says who owns it and what
-//! is done. Whoever wants to change it changes that row under the condition that
-//! it is as it was read; so an owner that was paused, or taken for gone, can't
-//! add anything once another has taken over. docs/design/jobs.md weighs the
-//! ways.
+//! A job is an object that holds its items, and one row that holds its owner and progress. Every
+//! change to the row is conditional on the version that was read, so an owner that was paused or
+//! wrongly taken for dead cannot add results after another node has taken the job over.
+//! docs/design/jobs.md compares the alternatives.
 
 pub mod absence;
 pub mod item;
-pub mod ledger;
 pub mod quota;
 pub mod record;
+pub mod registry;
 
 mod accept;
 mod commit;
--- a/src/batch/absence.rs
+++ b/src/batch/absence.rs
@@ -1,18 +1,18 @@
-//! Telling what is gone from what is only not known at the moment.
+//! Grace period for something that may be missing only temporarily.
 
 use std::time::Duration;
 
 use crate::clock::Time;
 
-/// Notes since when something has been missing without a break.
+/// Records since when something has been missing without interruption.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Absence {
     since: Option<Time>,
 }
 
 impl Absence {
-    /// Takes what `now` shows; true once it has been missing for `grace`.
-    pub fn look(&mut self, now: Time, present: bool, grace: Duration) -> bool {
+    /// Records whether it is present at `now`; returns true once it has been missing for `grace`.
+    pub fn update(&mut self, now: Time, present: bool, grace: Duration) -> bool {
         if present {
             self.since = None;
             return false;
--- a/src/batch/accept.rs
+++ b/src/batch/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting a job: it is the store's before its caller hears so.
+//! Accepts jobs: the store holds a job before its caller gets the acknowledgement.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,9 +8,9 @@
 use tokio::time::sleep;
 
 use super::item::Item;
-use super::ledger::Entry;
 use super::quota::Quota;
 use super::record::{self, Record};
+use super::registry::Entry;
 use super::shell::{Jobs, terms};
 use crate::catalog::Route;
 use crate::event;
@@ -18,57 +18,56 @@
 use crate::platform::{call, job};
 use crate::table::{Expect, Fault, Feed as _, FeedError, Store as _, Table as _, Transaction};
 
-/// Tries before the caller is told that the job may have been accepted.
-const TRIES: u32 = 6;
-/// Tries to store a job's items before the caller is told that it was not
-/// accepted.
-const OBJECT_TRIES: u32 = 3;
-/// Pause between tries; nodes that accept jobs of one route at once disturb
-/// each other.
-const PAUSE: Duration = Duration::from_millis(20);
-/// When to come back while the store can't be reached.
-const STORE_RETRY: Duration = Duration::from_millis(500);
-/// A node that has not heard the store for so long, over readers or by itself,
-/// can't store a job. While the store answers, however slowly, it is heard within
-/// 1.4 s, and within 2.4 s where both readers of the zone were lost.
-const AWAY: Duration = Duration::from_millis(2_500);
-/// When to come back then: at once, since other nodes may reach the store.
-const AWAY_RETRY: Duration = Duration::from_millis(100);
-/// When to come back while too much waits: about as long as a few items take.
-const QUOTA_RETRY: Duration = Duration::from_secs(1);
+/// Attempts to register a job before the caller gets the answer that it may have been accepted.
+const MAX_REGISTER_ATTEMPTS: u32 = 6;
+/// Attempts to store a job's items before the submission is refused.
+const MAX_OBJECT_ATTEMPTS: u32 = 3;
+/// Delay between attempts. Nodes that accept jobs on the same route at the same time conflict on
+/// the ordering row.
+const RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Retry delay sent to the caller when the store refuses or fails.
+const STORE_RETRY_AFTER: Duration = Duration::from_millis(500);
+/// Longest time without news from the store, through readers or directly, after which this node
+/// refuses submissions. While the store answers, however slowly, news arrives within 1.4 s, or
+/// within 2.4 s after both readers of the zone were lost.
+const MAX_STORE_SILENCE: Duration = Duration::from_millis(2_500);
+/// Retry delay sent to the caller in that case: short, because other nodes may reach the store.
+const UNREACHABLE_RETRY_AFTER: Duration = Duration::from_millis(100);
+/// Retry delay sent to the caller when the quota is exceeded: about as long as a few items take.
+const QUOTA_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What became of a submission.
-enum Accepted {
-    /// The job is kept, from now on or from an earlier submission.
-    Yes,
-    /// Another organisation has a job of that id.
-    Taken,
-    /// More waits than may.
-    Full,
-    /// The store surely did not take it.
-    Refused,
-    /// The store does not answer this node, which is known before it is asked.
-    Away,
-    /// The store may have taken it, or takes it later.
+/// Result of a submission.
+enum Acceptance {
+    /// The job is stored, by this or by an earlier submission.
+    Stored,
+    /// Another organisation has a job with that id.
+    IdTaken,
+    /// The job would exceed the quota on waiting tokens.
+    QuotaExceeded,
+    /// The store certainly did not take the job.
+    StoreRefused,
+    /// The store has not answered this node recently, so it is not asked.
+    StoreUnreachable,
+    /// The store may have taken the job, or may still take it.
     Unknown,
 }
 
-/// A job of that id is kept already.
-fn again(entry: &Entry, organisation: Option<&Name>) -> Accepted {
+/// Result for a job whose id is stored already.
+fn resubmitted(entry: &Entry, organisation: Option<&Name>) -> Acceptance {
     if entry.record.organisation.as_ref() == organisation {
-        Accepted::Yes
+        Acceptance::Stored
     } else {
-        Accepted::Taken
+        Acceptance::IdTaken
     }
 }
 
-fn taken() -> Response<Bytes> {
-    let why = "another organisation has a job of this id; choose another id";
+fn id_taken() -> Response<Bytes> {
+    let why = "another organisation has a job with this id; choose another id";
     call::error(StatusCode::CONFLICT, why)
 }
 
 impl Jobs {
-    /// Takes a job that `organisation` submitted on `route`.
+    /// Accepts a job that `organisation` submitted on `route`.
     pub async fn submit(
         self: &Rc<Self>,
         route: &Route,
@@ -77,17 +76,17 @@
         body: Bytes,
     ) -> Response<Bytes> {
         if !name::is_valid(job) {
-            let why = "the job's id may have letters, digits, `-`, `_`, `.` and `:`";
+            let why = "invalid job id; use letters, digits, `-`, `_`, `.` and `:`";
             return call::error(StatusCode::BAD_REQUEST, why);
         }
         let before = self
-            .ledger
+            .registry
             .borrow()
             .get(job)
             .map(|known| known.record.organisation.clone());
         match before {
             Some(owner) if owner == organisation => return job::accepted(),
-            Some(_) => return taken(),
+            Some(_) => return id_taken(),
             None => {}
         }
         let items = match job::decode(&body) {
@@ -95,51 +94,51 @@
             Err(why) => return call::error(StatusCode::BAD_REQUEST, &why),
         };
         let owner = organisation.clone();
-        let (accepted, word) = match self.accept(route, owner, job, items, body).await {
-            Accepted::Yes => (job::accepted(), "accepted"),
-            Accepted::Taken => (taken(), "id_taken"),
-            Accepted::Full => (
+        let (accepted, reason) = match self.accept(route, owner, job, items, body).await {
+            Acceptance::Stored => (job::accepted(), "accepted"),
+            Acceptance::IdTaken => (id_taken(), "id_taken"),
+            Acceptance::QuotaExceeded => (
                 call::refuse(
                     StatusCode::TOO_MANY_REQUESTS,
-                    "too many of your tokens wait on this route; come back",
-                    QUOTA_RETRY,
+                    "your organisation has too many tokens waiting on this route; retry later",
+                    QUOTA_RETRY_AFTER,
                 ),
                 "quota",
             ),
-            Accepted::Refused => (
+            Acceptance::StoreRefused => (
                 call::refuse(
                     StatusCode::SERVICE_UNAVAILABLE,
-                    "the job can't be stored now; come back",
-                    STORE_RETRY,
+                    "the job could not be stored; submit it again later",
+                    STORE_RETRY_AFTER,
                 ),
                 "store_refused",
             ),
-            Accepted::Away => (
+            Acceptance::StoreUnreachable => (
                 call::refuse(
                     StatusCode::SERVICE_UNAVAILABLE,
-                    "this node can't reach the store; ask another one",
-                    AWAY_RETRY,
+                    "this node cannot reach the store; submit the job to another node",
+                    UNREACHABLE_RETRY_AFTER,
                 ),
                 "store_away",
             ),
-            Accepted::Unknown => (
+            Acceptance::Unknown => (
                 call::error(
                     StatusCode::GATEWAY_TIMEOUT,
-                    "the job may have been accepted; send it again",
+                    "the store did not confirm the job, which may have been accepted; submit it again",
                 ),
                 "unknown",
             ),
         };
-        let event = match word {
+        let event = match reason {
             "accepted" => event::JOB_ACCEPTED,
             _ => event::JOB_REFUSED,
         };
         log::info!(
-            "{event} id={job} route={} organisation={} why={word}",
+            "{event} id={job} route={} organisation={} why={reason}",
             route.name,
             organisation.as_deref().unwrap_or("-"),
         );
-        self.setup.count.job(word);
+        self.setup.count.job(reason);
         accepted
     }
 
@@ -150,28 +149,28 @@
         job: &Name,
         items: Vec<Item>,
         body: Bytes,
-    ) -> Accepted {
-        if self.is_away() {
-            return Accepted::Away;
+    ) -> Acceptance {
+        if self.is_store_unreachable() {
+            return Acceptance::StoreUnreachable;
         }
         let tokens: Vec<u32> = items.iter().map(|item| item.tokens).collect();
         let total: u64 = tokens.iter().map(|tokens| u64::from(*tokens)).sum();
         if !self.quota(route, organisation.as_deref()).fits(total) {
-            // A job that was accepted a moment ago elsewhere comes again.
+            // This may be a resubmission of a job that another node accepted a moment ago.
             return match self.reload(job).await {
-                Ok(Some(entry)) => again(&entry, organisation.as_ref()),
-                Ok(None) => Accepted::Full,
-                Err(_) => Accepted::Refused,
+                Ok(Some(entry)) => resubmitted(&entry, organisation.as_ref()),
+                Ok(None) => Acceptance::QuotaExceeded,
+                Err(_) => Acceptance::StoreRefused,
             };
         }
-        // The object comes first: a row without its items could not be run.
+        // The object is stored first: a row without its items could not be run.
         if let Err(fault) = self.put_object(job, body).await {
             log::info!("{} id={job} why=\"{fault}\"", event::STORE_CALL_REFUSED);
-            // Without its row an object is nothing.
-            return Accepted::Refused;
+            // An object without its row has no effect.
+            return Acceptance::StoreRefused;
         }
-        let Some(accepted) = self.ledger.borrow().store_now(self.now()) else {
-            return Accepted::Refused;
+        let Some(accepted) = self.registry.borrow().store_now(self.now()) else {
+            return Acceptance::StoreRefused;
         };
         let record = Record {
             host: route.host.clone(),
@@ -188,20 +187,19 @@
         self.register(route, job, items, record, total).await
     }
 
-    /// True while the store has not been heard for so long that a job can't be
-    /// kept. Were it tried all the same, each node that is cut off would hold a
-    /// caller up for the half second that a connection is waited for, of the 0.8 s
-    /// within which a job is to be accepted.
-    fn is_away(&self) -> bool {
-        let heard = self.ledger.borrow().heard_at();
-        heard.is_none_or(|at| self.now().since(at) > AWAY)
+    /// Returns true if the last news from the store is too old to try to store a job. Without this
+    /// check each node that is cut off would hold a caller for the connect timeout of half a
+    /// second, out of the 0.8 s within which a job should be accepted.
+    fn is_store_unreachable(&self) -> bool {
+        let heard = self.registry.borrow().synced_at();
+        heard.is_none_or(|at| self.now().since(at) > MAX_STORE_SILENCE)
     }
 
-    /// Stores a job's items; the same object may be put again.
+    /// Stores a job's items. Storing the same object again is harmless.
     async fn put_object(&self, job: &Name, body: Bytes) -> Result<(), Fault> {
         let name = record::object(job);
         let mut result = Err(Fault::Unknown);
-        for _ in 0..OBJECT_TRIES {
+        for _ in 0..MAX_OBJECT_ATTEMPTS {
             result = self.setup.store.put(&name, body.clone()).await;
             if result != Err(Fault::Unknown) {
                 break;
@@ -210,14 +208,13 @@
         result
     }
 
-    /// The bound on the route for each organisation, and what waits there of this
-    /// one as this node knows it.
+    /// The organisation's quota on the route, with the waiting tokens that this node has seen.
     fn quota(&self, route: &Route, organisation: Option<&str>) -> Quota {
-        let most = terms(route).and_then(|terms| terms.waiting_tokens);
-        let ledger = self.ledger.borrow();
+        let limit = terms(route).and_then(|terms| terms.waiting_tokens);
+        let registry = self.registry.borrow();
         Quota {
-            most,
-            waiting: ledger.waiting_tokens(&route.host, &route.prefix, organisation),
+            limit,
+            waiting: registry.waiting_tokens(&route.host, &route.prefix, organisation),
         }
     }
 
@@ -228,31 +225,31 @@
         items: Vec<Item>,
         record: Record,
         tokens: u64,
-    ) -> Accepted {
+    ) -> Acceptance {
         let key = record::key(job);
         let organisation = record.organisation.clone();
         let organisation = organisation.as_deref();
         let order = record::quota(&route.host, &route.prefix, organisation);
-        let mut doubtful = false;
-        for _ in 0..TRIES {
+        let mut may_be_stored = false;
+        for _ in 0..MAX_REGISTER_ATTEMPTS {
             let mut transaction = Transaction::default()
                 .check(key.clone(), Expect::Absent)
                 .put(key.clone(), record.encode());
             if self.quota(route, organisation).must_order(tokens) {
-                match self.order(&order).await {
+                match self.read_ordering_version(&order).await {
                     Ok(expect) => {
                         transaction = transaction
                             .check(order.clone(), expect)
                             .put(order.clone(), record::encode(&record.accepted));
                     }
-                    Err(_) if doubtful => return Accepted::Unknown,
-                    Err(_) => return Accepted::Refused,
+                    Err(_) if may_be_stored => return Acceptance::Unknown,
+                    Err(_) => return Acceptance::StoreRefused,
                 }
                 if !self.quota(route, organisation).fits(tokens) {
-                    return if doubtful {
-                        Accepted::Unknown
+                    return if may_be_stored {
+                        Acceptance::Unknown
                     } else {
-                        Accepted::Full
+                        Acceptance::QuotaExceeded
                     };
                 }
             }
@@ -260,34 +257,37 @@
                 Ok(version) => {
                     self.apply(job, version, record.clone());
                     self.start(job, items, Entry { version, record });
-                    return Accepted::Yes;
+                    return Acceptance::Stored;
                 }
-                // Somebody accepted it, perhaps this node's own lost call.
+                // The job is registered already, possibly by an earlier call of this node whose
+                // answer was lost.
                 Err(Fault::Conflict { key: failed, .. }) if failed == key => {
-                    return self.found(job, record.organisation.as_ref(), items).await;
+                    return self
+                        .resolve_existing(job, record.organisation.as_ref(), items)
+                        .await;
                 }
-                Err(Fault::Refused { .. }) if !doubtful => return Accepted::Refused,
+                Err(Fault::Refused { .. }) if !may_be_stored => return Acceptance::StoreRefused,
                 Err(Fault::Conflict { .. } | Fault::Refused { .. }) => {}
-                Err(Fault::Unknown) => doubtful = true,
+                Err(Fault::Unknown) => may_be_stored = true,
             }
-            sleep(PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
-        if doubtful {
-            Accepted::Unknown
+        if may_be_stored {
+            Acceptance::Unknown
         } else {
-            Accepted::Refused
+            Acceptance::StoreRefused
         }
     }
 
-    /// The version that the ordering row must still have, once everything that
-    /// was accepted before it is known.
-    async fn order(self: &Rc<Self>, key: &str) -> Result<Expect, Fault> {
+    /// Returns the version that the ordering row must still have at commit, after this node has
+    /// caught up with every job accepted before it.
+    async fn read_ordering_version(self: &Rc<Self>, key: &str) -> Result<Expect, Fault> {
         let row = self.setup.store.get_row(key).await?;
         let expect = row
             .as_ref()
             .map_or(Expect::Absent, |row| Expect::Version(row.version));
         let needed = row.map_or(0, |row| row.version);
-        let known = self.ledger.borrow().version();
+        let known = self.registry.borrow().version();
         if known < needed {
             let changes = self
                 .setup
@@ -295,34 +295,37 @@
                 .changes(record::TABLE, known, Duration::ZERO)
                 .await
                 .map_err(|lapse| match lapse {
-                    FeedError::Fault(fault) => fault,
-                    FeedError::Gone => Fault::Refused {
-                        retry_after: STORE_RETRY,
+                    Lapse::Fault(fault) => fault,
+                    Lapse::Gone => Fault::Refused {
+                        retry_after: STORE_RETRY_AFTER,
                     },
                 })?;
-            self.learn_changes(changes);
+            self.apply_changes(changes);
         }
         Ok(expect)
     }
 
-    /// The job's row was there already.
-    async fn found(
+    /// Resolves a submission whose job's row exists already.
+    async fn resolve_existing(
         self: &Rc<Self>,
         job: &Name,
         organisation: Option<&Name>,
         items: Vec<Item>,
-    ) -> Accepted {
+    ) -> Acceptance {
         match self.reload(job).await {
             Ok(Some(entry)) => {
-                let accepted = again(&entry, organisation);
+                let accepted = resubmitted(&entry, organisation);
                 let running = self.works.borrow().contains_key(job);
-                let unfinished = !entry.record.is_over() && !running;
-                if matches!(accepted, Accepted::Yes) && self.is_mine(&entry.record) && unfinished {
+                let unfinished = !entry.record.is_finished() && !running;
+                if matches!(accepted, Acceptance::Stored)
+                    && self.is_mine(&entry.record)
+                    && unfinished
+                {
                     self.start(job, items, entry);
                 }
                 accepted
             }
-            Ok(None) | Err(_) => Accepted::Unknown,
+            Ok(None) | Err(_) => Acceptance::Unknown,
         }
     }
 }
--- a/src/batch/commit.rs
+++ b/src/batch/commit.rs
@@ -1,5 +1,5 @@
-//! Stores outcomes and failures: the job's row and its results in one transaction, under the
-//! condition that the row is as this node knows it.
+//! Stores outcomes and failures: the job's row and its results change in one transaction,
+//! conditional on the version of the row that this node has.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,41 +8,41 @@
 use tokio::time::sleep;
 
 use super::item::Outcome;
-use super::ledger::Entry;
 use super::record::{self, Record};
+use super::registry::Entry;
 use super::shell::Jobs;
 use super::work::{Slot, Work};
 use crate::event;
 use crate::table::{Expect, Fault, Store as _, Table as _, Transaction};
 
-/// Outcomes in one transaction; some 15 KB each, so that it stays well below
-/// the store's 1 MB.
-const MOST: usize = 24;
-/// Bytes of a row that its encoding may add to an output.
-const ROOM: usize = 1_024;
-/// How long an item waits after a failure, so that a fault that every endpoint
-/// shares does not turn into a storm.
-pub(super) const FAILED_PAUSE: Duration = Duration::from_millis(150);
-/// Pause before a store that did not answer is tried again.
-const PAUSE: Duration = Duration::from_millis(150);
+/// Outcomes in one transaction. Each takes some 15 KB, so the transaction stays well below the
+/// store's limit of 1 MB.
+const MAX_OUTCOMES: usize = 24;
+/// Bytes that the encoding of a row may add to an output.
+const ROW_OVERHEAD_BYTES: usize = 1_024;
+/// Delay before an item is run again after a failure, so that a fault common to all endpoints does
+/// not cause a retry storm.
+pub(super) const RETRY_DELAY: Duration = Duration::from_millis(150);
+/// Delay before a call that the store did not answer is retried.
+const STORE_RETRY_DELAY: Duration = Duration::from_millis(150);
 
 impl Jobs {
-    /// Stores what is not stored yet, in a task of its own.
+    /// Starts a task that stores everything not stored yet, unless one is running.
     pub(super) fn commit(self: &Rc<Self>, work: &Rc<Work>) {
-        if !work.has_news() || work.committing.replace(true) {
+        if !work.has_unstored() || work.committing.replace(true) {
             return;
         }
         let (jobs, work) = (Rc::clone(self), Rc::clone(work));
         actix_rt::spawn(async move {
-            while !work.stopped.get() && work.has_news() {
+            while !work.stopped.get() && work.has_unstored() {
                 if let Err(fault) = store(&jobs, &work).await {
                     log::info!("{} job={} why=\"{fault}\"", event::STORE_CALL_LOST, work.id);
-                    sleep(PAUSE).await;
-                    reread(&jobs, &work).await;
+                    sleep(STORE_RETRY_DELAY).await;
+                    reconcile(&jobs, &work).await;
                 }
             }
             work.committing.set(false);
-            if work.entry.borrow().record.is_over() {
+            if work.entry.borrow().record.is_finished() {
                 log::info!("{} job={}", event::JOB_ENDED, work.id);
                 jobs.works.borrow_mut().remove(&work.id);
             }
@@ -52,32 +52,38 @@
 
 async fn store(jobs: &Rc<Jobs>, work: &Rc<Work>) -> Result<(), Fault> {
     let Entry { version, record } = work.entry.borrow().clone();
-    let fresh: Vec<(usize, Outcome)> = work.fresh.borrow().iter().take(MOST).cloned().collect();
+    let unstored: Vec<(usize, Outcome)> = work
+        .unstored
+        .borrow()
+        .iter()
+        .take(MAX_OUTCOMES)
+        .cloned()
+        .collect();
     let mut next = record.clone();
     let key = record::key(&work.id);
     let mut transaction = Transaction::default().check(key.clone(), Expect::Version(version));
-    for (item, outcome) in &fresh {
+    for (item, outcome) in &unstored {
         let row = record::result(&work.id, next.done.len());
         next.done.push(u16::try_from(*item).unwrap_or(u16::MAX));
-        let value = row_of(jobs, work, *item, outcome, record.epoch).await?;
+        let value = encode_outcome(jobs, work, *item, outcome, record.epoch).await?;
         transaction = transaction.put(row, value);
     }
-    next.failures = work.failed(&next.done);
+    next.failures = work.unfinished_failures(&next.done);
     transaction = transaction.put(key, next.encode());
     let version = jobs.setup.store.transact(transaction).await?;
-    stored(jobs, work, version, next);
+    apply_commit(jobs, work, version, next);
     Ok(())
 }
 
-/// The row of an outcome; a long output goes into an object of its own.
-async fn row_of(
+/// Encodes an outcome as a row. An output too long for a row goes into an object of its own.
+async fn encode_outcome(
     jobs: &Jobs,
     work: &Work,
     item: usize,
     outcome: &Outcome,
     epoch: u64,
 ) -> Result<Vec<u8>, Fault> {
-    if outcome.output.len() + ROOM <= jobs.setup.row_bytes {
+    if outcome.output.len() + ROW_OVERHEAD_BYTES <= jobs.setup.row_bytes {
         return Ok(record::encode(outcome));
     }
     let name = format!("result-{}-{item}-{epoch}", work.id);
@@ -91,20 +97,20 @@
     Ok(record::encode(&row))
 }
 
-/// The job's row is now `record`: moves what it lists out of the fresh ones.
-fn stored(jobs: &Rc<Jobs>, work: &Rc<Work>, version: u64, record: Record) {
+/// Takes `record` as the job's row and removes its outcomes from the unstored ones.
+fn apply_commit(jobs: &Rc<Jobs>, work: &Rc<Work>, version: u64, record: Record) {
     let known = work.entry.borrow().record.done.len();
     for (position, item) in record.done.iter().enumerate().skip(known) {
         let item = usize::from(*item);
-        let mut fresh = work.fresh.borrow_mut();
-        if let Some(at) = fresh.iter().position(|(other, _)| *other == item) {
-            let (_, outcome) = fresh.remove(at);
+        let mut unstored = work.unstored.borrow_mut();
+        if let Some(at) = unstored.iter().position(|(other, _)| *other == item) {
+            let (_, outcome) = unstored.remove(at);
             let mut cache = jobs.cache.borrow_mut();
             cache.put(&work.id, position, Rc::new(outcome));
         }
         work.set(item, Slot::Done);
     }
-    work.failures_stored(&record, jobs.now() + FAILED_PAUSE);
+    work.mark_failures_stored(&record, jobs.now() + RETRY_DELAY);
     *work.entry.borrow_mut() = Entry {
         version,
         record: record.clone(),
@@ -113,14 +119,14 @@
     jobs.changed.notify_waiters();
 }
 
-/// Finds out what became of a change whose answer was lost or refused.
-async fn reread(jobs: &Rc<Jobs>, work: &Rc<Work>) {
+/// Reads the row again after a change whose answer was lost or refused.
+async fn reconcile(jobs: &Rc<Jobs>, work: &Rc<Work>) {
     match jobs.setup.store.get_row(&record::key(&work.id)).await {
         Ok(Some(row)) => match Record::decode(&row.value) {
             Ok(record) => {
                 let epoch = work.entry.borrow().record.epoch;
                 if jobs.is_mine(&record) && record.epoch == epoch {
-                    stored(jobs, work, row.version, record);
+                    apply_commit(jobs, work, row.version, record);
                 } else {
                     jobs.apply(&work.id, row.version, record);
                     jobs.drop_work(work, "another_owner");
--- a/src/batch/orphan.rs
+++ b/src/batch/orphan.rs
@@ -1,48 +1,48 @@
-//! Jobs whose owner is gone, and who takes them over.
+//! Takes over jobs whose owner is gone.
 
 use std::rc::Rc;
 use std::time::Duration;
 
-use super::ledger::Entry;
 use super::record::{self, Record};
+use super::registry::Entry;
 use super::shell::Jobs;
 use crate::event;
 use crate::leave::Phase;
 use crate::name::Name;
 use crate::table::{Expect, Table as _, Transaction};
 
-/// A node that has just started does not know the members yet.
-const SETTLE: Duration = Duration::from_millis(900);
-/// How long the first choice has before the next member may take a job over;
-/// it may be unable to reach the store.
-const TURN: Duration = Duration::from_millis(1_200);
+/// A node that has just started has an incomplete member list, so it claims nothing for this long.
+const MEMBERSHIP_SETTLE_TIME: Duration = Duration::from_millis(900);
+/// Time that each candidate has to claim a job before the next one may, since a candidate may be
+/// unable to reach the store.
+const CLAIM_TURN: Duration = Duration::from_millis(1_200);
 
-/// How long a claim that failed is not repeated. The store refuses what is more
-/// than it can write at once, which is so when all nodes have restarted; claims
-/// that are repeated at each look keep it there.
-const CLAIM_PAUSE: Duration = Duration::from_millis(600);
+/// Delay before a failed claim is retried. When all nodes have restarted, their claims exceed the
+/// store's write limit; retrying at every interval would keep it there.
+const CLAIM_RETRY_DELAY: Duration = Duration::from_millis(600);
 
-/// Looks for jobs without an owner, and takes over those that fall to this
-/// node.
-pub(super) fn adopt(jobs: &Rc<Jobs>) {
+/// Claims the jobs without a live owner for which it is this node's turn.
+pub(super) fn claim_orphans(jobs: &Rc<Jobs>) {
     let now = jobs.now();
-    if now.since(jobs.started) < SETTLE || !matches!(**jobs.setup.phase.read(), Phase::Serving) {
+    if now.since(jobs.started) < MEMBERSHIP_SETTLE_TIME
+        || !matches!(**jobs.setup.phase.read(), Phase::Serving)
+    {
         return;
     }
     let view = jobs.setup.view.read();
     let owners = view.owners();
-    let ledger = jobs.ledger.borrow();
+    let registry = jobs.registry.borrow();
     let mut orphans = jobs.orphans.borrow_mut();
     let mut mine = Vec::new();
-    for (job, entry) in ledger.iter() {
-        if entry.record.is_over() {
+    for (job, entry) in registry.iter() {
+        if entry.record.is_finished() {
             orphans.remove(job);
             jobs.claim_after.borrow_mut().remove(job);
             continue;
         }
         if jobs.is_mine(&entry.record) {
             orphans.remove(job);
-            // Its acceptance took effect after the store's answer was lost.
+            // Its registration took effect although the store's answer was lost.
             if !jobs.works.borrow().contains_key(job) {
                 mine.push((job.clone(), entry.clone()));
             }
@@ -57,22 +57,22 @@
         let since = *orphans.entry(job.clone()).or_insert(now);
         let turn = view.rank(job, &jobs.setup.me);
         let pause = jobs.claim_after.borrow().get(job).copied();
-        if now.since(since) >= TURN * turn && pause.is_none_or(|until| now >= until) {
+        if now.since(since) >= CLAIM_TURN * turn && pause.is_none_or(|until| now >= until) {
             mine.push((job.clone(), entry.clone()));
         }
     }
     for (job, entry) in mine {
-        if jobs.taking.borrow_mut().insert(job.clone()) {
+        if jobs.claiming.borrow_mut().insert(job.clone()) {
             let jobs = Rc::clone(jobs);
             actix_rt::spawn(async move {
-                take(&jobs, &job, entry).await;
-                jobs.taking.borrow_mut().remove(&job);
+                take_over(&jobs, &job, entry).await;
+                jobs.claiming.borrow_mut().remove(&job);
             });
         }
     }
 }
 
-async fn take(jobs: &Rc<Jobs>, job: &Name, entry: Entry) {
+async fn take_over(jobs: &Rc<Jobs>, job: &Name, entry: Entry) {
     let entry = if jobs.is_mine(&entry.record) {
         entry
     } else {
@@ -89,11 +89,11 @@
         }
     };
     let partials = load_partials(jobs, job).await;
-    // Another task, or a change meanwhile, may have come first.
-    let current = jobs.ledger.borrow().get(job).cloned().unwrap_or(entry);
+    // Another task or a change to the row may have come first.
+    let current = jobs.registry.borrow().get(job).cloned().unwrap_or(entry);
     if jobs.works.borrow().contains_key(job)
         || !jobs.is_mine(&current.record)
-        || current.record.is_over()
+        || current.record.is_finished()
     {
         return;
     }
@@ -113,8 +113,8 @@
     }
 }
 
-/// Makes this node the owner; none when somebody was faster or the store can't
-/// be reached.
+/// Makes this node the owner. Returns `None` if another node was faster or the store cannot be
+/// reached.
 async fn claim(jobs: &Rc<Jobs>, job: &Name, entry: Entry) -> Option<Entry> {
     let record = Record {
         owner: Some(jobs.setup.me.clone()),
@@ -132,22 +132,22 @@
         }
         Err(fault) => {
             log::info!("{} job={job} why=\"{fault}\"", event::STORE_CALL_REFUSED);
-            let until = jobs.now() + CLAIM_PAUSE;
+            let until = jobs.now() + CLAIM_RETRY_DELAY;
             jobs.claim_after.borrow_mut().insert(job.clone(), until);
-            // A claim whose answer was lost shows in the row.
+            // If only the answer was lost, the row shows the claim.
             let entry = jobs.reload(job).await.ok()??;
             jobs.is_mine(&entry.record).then_some(entry)
         }
     }
 }
 
-/// What unfinished runs had brought when the owner before left.
+/// Output of unfinished runs that the previous owner stored when it left.
 async fn load_partials(jobs: &Jobs, job: &Name) -> Vec<(usize, super::item::Partial)> {
     let prefix = record::partials(job);
     let page = match jobs.setup.store.scan(&prefix, "", 200).await {
         Ok(page) => page,
         Err(fault) => {
-            // They only save work.
+            // Without them the items run from the start, which costs only time.
             log::info!("{} job={job} why=\"{fault}\"", event::STORE_CALL_LOST);
             return Vec::new();
         }
--- a/src/batch/read.rs
+++ b/src/batch/read.rs
@@ -1,4 +1,4 @@
-//! Reading a job's results and items at any node, and ending a job.
+//! Reads a job's results and items at any node, and ends a job.
 
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
@@ -9,8 +9,8 @@
 use tokio::time::{Instant, sleep, timeout_at};
 
 use super::item::{Item, Outcome};
-use super::ledger::Entry;
 use super::record::{self, Record};
+use super::registry::Entry;
 use super::shell::Jobs;
 use crate::event;
 use crate::name::{self, Name};
@@ -18,25 +18,25 @@
 use crate::platform::job::{self, Listed};
 use crate::table::{Expect, Fault, Table as _, Transaction};
 
-/// Bytes of outputs in one answer, below the 1 MB that callers allow.
+/// Bytes of output in one response, below the 1 MB that callers accept.
 const PAGE_BYTES: usize = 700 * 1024;
-/// Results in one reading of the store.
+/// Results fetched by one scan of the store.
 const PAGE_ROWS: usize = 60;
-/// Bytes of outputs that are kept for further readers.
+/// Bytes of output cached for further readers.
 const CACHE_BYTES: usize = 12 * 1024 * 1024;
-/// Jobs whose items are kept for further readers.
+/// Jobs whose items are cached for further readers.
 const CACHE_JOBS: usize = 8;
-/// A node that has not heard the store for so long can't be sure that nothing
-/// has come since: readers elsewhere may have seen it a second ago.
-const SURE: Duration = Duration::from_millis(900);
-/// When to come back while the store can't be read.
-const RETRY: Duration = Duration::from_millis(300);
-/// Longest time that ending a job is tried.
-const END_LIMIT: Duration = Duration::from_secs(3);
-/// Pause between two tries of it.
-const END_PAUSE: Duration = Duration::from_millis(100);
+/// Oldest copy of the store's rows from which "no further results" may be answered. Readers at
+/// other nodes may have seen a newer result a second ago.
+const MAX_STALENESS: Duration = Duration::from_millis(900);
+/// Retry delay sent to the caller while the store cannot be read.
+const RETRY_AFTER: Duration = Duration::from_millis(300);
+/// Longest time for which ending a job is retried.
+const END_TIMEOUT: Duration = Duration::from_secs(3);
+/// Delay between attempts to end a job.
+const END_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Results and items that were read before; they never change.
+/// Cache of results and items, which never change once stored.
 #[derive(Debug, Default)]
 pub struct Cache {
     outcomes: HashMap<(Name, usize), Rc<Outcome>>,
@@ -81,27 +81,27 @@
     }
 }
 
-/// Why a job can't be read.
-enum Unread {
-    /// There is none of that name.
-    Absent,
-    /// The store can't be asked.
-    Unsure,
+/// Why a job cannot be read.
+enum Error {
+    /// No such job or item.
+    NotFound,
+    /// The store cannot be read.
+    Unavailable,
 }
 
-/// Who asks about a job.
+/// The caller that reads a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reader {
-    /// Callers need no key, so that nobody is told apart.
+    /// Any caller: the route requires no key, so callers cannot be distinguished.
     Unrestricted,
     /// A caller of this organisation, or of none.
     Organisation(Option<Name>),
 }
 
 impl Reader {
-    /// An organisation's jobs are nobody else's to see, to read or to end. To others
-    /// they look as if they were not there.
-    fn may_see(&self, record: &Record) -> bool {
+    /// Only the organisation that submitted a job may see, read or end it. To others the job looks
+    /// as if it did not exist.
+    fn can_read(&self, record: &Record) -> bool {
         match self {
             Self::Unrestricted => true,
             Self::Organisation(organisation) => *organisation == record.organisation,
@@ -109,25 +109,23 @@
     }
 }
 
-impl Unread {
-    fn answer(&self) -> Response<Bytes> {
+impl Error {
+    fn response(&self) -> Response<Bytes> {
         match self {
-            Self::Absent => call::error(
-                StatusCode::NOT_FOUND,
-                "there is no such job or item; check its id",
-            ),
-            Self::Unsure => call::refuse(
+            Self::NotFound => {
+                call::error(StatusCode::NOT_FOUND, "no such job or item; check its id")
+            }
+            Self::Unavailable => call::refuse(
                 StatusCode::SERVICE_UNAVAILABLE,
-                "the job can't be read now; come back",
-                RETRY,
+                "the job cannot be read now; retry later",
+                RETRY_AFTER,
             ),
         }
     }
 }
 
 impl Jobs {
-    /// Answers a reader of the results from the position `after` on, who will
-    /// wait for one.
+    /// Returns results from position `after` on, waiting up to `wait` for the first one.
     pub async fn read(
         self: &Rc<Self>,
         reader: &Reader,
@@ -138,9 +136,9 @@
         let until = Instant::now() + wait;
         loop {
             let changed = self.changed.notified();
-            let entry = match self.find_for(reader, job).await {
+            let entry = match self.find_visible(reader, job).await {
                 Ok(entry) => entry,
-                Err(unread) => return unread.answer(),
+                Err(error) => return error.response(),
             };
             let total = entry.record.tokens.len();
             if after < entry.record.done.len() {
@@ -151,51 +149,51 @@
                             "{} job={job} after={after} why=\"{fault}\"",
                             event::STORE_CALL_LOST
                         );
-                        Unread::Unsure.answer()
+                        Error::Unavailable.response()
                     }
                 };
             }
-            if !self.is_sure(&entry.record) {
-                return Unread::Unsure.answer();
+            if !self.is_current(&entry.record) {
+                return Error::Unavailable.response();
             }
-            if entry.record.is_over() || timeout_at(until, changed).await.is_err() {
+            if entry.record.is_finished() || timeout_at(until, changed).await.is_err() {
                 return page(total, after, &[]);
             }
         }
     }
 
-    /// True when this node would know of a newer result.
-    fn is_sure(&self, record: &Record) -> bool {
-        let heard = self.ledger.borrow().heard_at();
-        self.is_mine(record) || heard.is_some_and(|at| self.now().since(at) < SURE)
+    /// Returns true if this node would have seen a newer result.
+    fn is_current(&self, record: &Record) -> bool {
+        let heard = self.registry.borrow().synced_at();
+        self.is_mine(record) || heard.is_some_and(|at| self.now().since(at) < MAX_STALENESS)
     }
 
-    /// The job, if it is there for that reader.
-    async fn find_for(self: &Rc<Self>, reader: &Reader, job: &Name) -> Result<Entry, Unread> {
+    /// Finds a job that `reader` may see.
+    async fn find_visible(self: &Rc<Self>, reader: &Reader, job: &Name) -> Result<Entry, Error> {
         let entry = self.find(job).await?;
-        if reader.may_see(&entry.record) {
+        if reader.can_read(&entry.record) {
             Ok(entry)
         } else {
-            Err(Unread::Absent)
+            Err(Error::NotFound)
         }
     }
 
-    /// The job, from memory or else from the store.
-    async fn find(self: &Rc<Self>, job: &Name) -> Result<Entry, Unread> {
-        if let Some(entry) = self.ledger.borrow().get(job) {
+    /// Finds a job in memory, or else in the store.
+    async fn find(self: &Rc<Self>, job: &Name) -> Result<Entry, Error> {
+        if let Some(entry) = self.registry.borrow().get(job) {
             return Ok(entry.clone());
         }
         if !name::is_valid(job) {
-            return Err(Unread::Absent);
+            return Err(Error::NotFound);
         }
         match self.reload(job).await {
             Ok(Some(entry)) => Ok(entry),
-            Ok(None) => Err(Unread::Absent),
-            Err(_) => Err(Unread::Unsure),
+            Ok(None) => Err(Error::NotFound),
+            Err(_) => Err(Error::Unavailable),
         }
     }
 
-    /// Reads the job's row afresh.
+    /// Reads the job's row from the store.
     pub(super) async fn reload(self: &Rc<Self>, job: &Name) -> Result<Option<Entry>, Fault> {
         let Some(row) = self.setup.store.get_row(&record::key(job)).await? else {
             return Ok(None);
@@ -205,10 +203,10 @@
             Fault::Unknown
         })?;
         self.apply(job, row.version, record);
-        Ok(self.ledger.borrow().get(job).cloned())
+        Ok(self.registry.borrow().get(job).cloned())
     }
 
-    /// Stored results from the position `after` on, at least one.
+    /// Returns at least one stored result, from position `after` on.
     async fn outcomes(
         &self,
         job: &Name,
@@ -240,14 +238,18 @@
         Ok(outcomes)
     }
 
-    /// Reads stored results from `position` on into the cache.
+    /// Loads stored results from `position` on into the cache.
     async fn load_outcomes(&self, job: &Name, position: usize) -> Result<(), Fault> {
         let prefix = record::results(job);
-        let behind = match position.checked_sub(1) {
+        let after_key = match position.checked_sub(1) {
             Some(before) => record::result(job, before),
             None => String::new(),
         };
-        let page = self.setup.store.scan(&prefix, &behind, PAGE_ROWS).await?;
+        let page = self
+            .setup
+            .store
+            .scan(&prefix, &after_key, PAGE_ROWS)
+            .await?;
         for row in page.rows {
             let number = row.key[prefix.len()..].parse();
             let outcome: Result<Outcome, _> = ciborium::from_reader(&row.value[..]);
@@ -266,7 +268,7 @@
         Ok(())
     }
 
-    /// Answers a reader of an item's body.
+    /// Returns the body of an item.
     pub async fn body(
         self: &Rc<Self>,
         reader: &Reader,
@@ -275,7 +277,7 @@
     ) -> Response<Bytes> {
         match self.item_body(reader, job, item).await {
             Ok(body) => Response::new(body),
-            Err(unread) => unread.answer(),
+            Err(error) => error.response(),
         }
     }
 
@@ -284,11 +286,11 @@
         reader: &Reader,
         job: &Name,
         item: &Name,
-    ) -> Result<Bytes, Unread> {
-        self.find_for(reader, job).await?;
+    ) -> Result<Bytes, Error> {
+        self.find_visible(reader, job).await?;
         let find = |items: &[Item]| {
             let found = items.iter().find(|other| other.id == *item);
-            found.map(|item| item.body.clone()).ok_or(Unread::Absent)
+            found.map(|item| item.body.clone()).ok_or(Error::NotFound)
         };
         if let Some(work) = self.works.borrow().get(job) {
             return find(&work.items);
@@ -296,13 +298,13 @@
         if let Some(items) = self.cache.borrow().items(job) {
             return find(&items);
         }
-        let items = self.load_items(job).await.map_err(|_| Unread::Unsure)?;
+        let items = self.load_items(job).await.map_err(|_| Error::Unavailable)?;
         let items = Rc::new(items);
         self.cache.borrow_mut().put_items(job, Rc::clone(&items));
         find(&items)
     }
 
-    /// Reads a job's items out of the store.
+    /// Loads a job's items from the store.
     pub(super) async fn load_items(&self, job: &Name) -> Result<Vec<Item>, Fault> {
         let object = self.setup.store.get_object(&record::object(job)).await?;
         let object = object.ok_or(Fault::Unknown)?;
@@ -312,9 +314,9 @@
         })
     }
 
-    /// Ends a job; nothing more of it is started anywhere.
+    /// Ends a job: no node starts another of its items.
     pub async fn end(self: &Rc<Self>, reader: &Reader, job: &Name) -> Response<Bytes> {
-        let until = Instant::now() + END_LIMIT;
+        let until = Instant::now() + END_TIMEOUT;
         while Instant::now() < until {
             match self.try_end(reader, job).await {
                 Ok(true) => {
@@ -323,16 +325,16 @@
                     return Response::new(Bytes::new());
                 }
                 Ok(false) => {}
-                Err(unread @ Unread::Absent) => return unread.answer(),
-                Err(Unread::Unsure) => sleep(END_PAUSE).await,
+                Err(error @ Error::NotFound) => return error.response(),
+                Err(Error::Unavailable) => sleep(END_RETRY_DELAY).await,
             }
         }
-        Unread::Unsure.answer()
+        Error::Unavailable.response()
     }
 
-    /// One try; false when the row had changed meanwhile.
-    async fn try_end(self: &Rc<Self>, reader: &Reader, job: &Name) -> Result<bool, Unread> {
-        let Entry { version, record } = self.find_for(reader, job).await?;
+    /// Tries once; returns false if the row had changed in the meantime.
+    async fn try_end(self: &Rc<Self>, reader: &Reader, job: &Name) -> Result<bool, Error> {
+        let Entry { version, record } = self.find_visible(reader, job).await?;
         if record.ended {
             return Ok(true);
         }
@@ -351,12 +353,12 @@
                 Ok(true)
             }
             Err(Fault::Conflict { .. } | Fault::Unknown) => {
-                // Lost answers and changes by the owner look alike until the row
-                // is read again.
-                self.reload(job).await.map_err(|_| Unread::Unsure)?;
+                // Only reading the row again distinguishes a lost answer from a change by the
+                // owner.
+                self.reload(job).await.map_err(|_| Error::Unavailable)?;
                 Ok(false)
             }
-            Err(Fault::Refused { .. }) => Err(Unread::Unsure),
+            Err(Fault::Refused { .. }) => Err(Error::Unavailable),
         }
     }
 }
--- a/src/batch/record.rs
+++ b/src/batch/record.rs
@@ -4,57 +4,57 @@
 
 use crate::name::Name;
 
-/// The table of jobs.
+/// Table of jobs.
 pub const TABLE: &str = "job";
-/// The table of results, one row a position.
+/// Table of results, one row for each position.
 pub const RESULTS: &str = "result";
-/// The table of what unfinished runs had brought when their owner left.
+/// Table of the output that unfinished runs had when their owner left.
 pub const PARTIALS: &str = "partial";
-/// The table of the rows that order acceptances on a route against each other.
+/// Table of the rows that order acceptances on a route.
 pub const QUOTAS: &str = "quota";
 
-/// What is known of a job, whoever owns it.
+/// Stored state of a job, independent of its owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// The host that it was submitted to.
+    /// Host to which it was submitted.
     #[serde(rename = "h")]
     pub host: Name,
-    /// The route's prefix.
+    /// Prefix of its route.
     #[serde(rename = "p")]
     pub prefix: Name,
-    /// The organisation that submitted it; none where callers need no key. It
-    /// stays so when all its keys are taken away.
+    /// Organisation that submitted it; `None` on routes that require no key. It stays even if all
+    /// keys of the organisation are revoked.
     #[serde(rename = "g", default, skip_serializing_if = "Option::is_none")]
     pub organisation: Option<Name>,
-    /// When it was accepted, by the store's clock in milliseconds.
+    /// Time of acceptance by the store's clock, in milliseconds.
     #[serde(rename = "a")]
     pub accepted: u64,
-    /// The process that runs it; none while it waits for one.
+    /// The process that runs it; `None` while no process does.
     #[serde(rename = "o")]
     pub owner: Option<Name>,
-    /// Counts its owners.
+    /// Number of owners so far.
     #[serde(rename = "e")]
     pub epoch: u64,
-    /// The tokens of each item.
+    /// Tokens of each item.
     #[serde(rename = "t")]
     pub tokens: Vec<u32>,
-    /// The numbers of the items that have results, in the order of the results.
+    /// Indices of the items that have results, in the order of the results.
     #[serde(rename = "d")]
     pub done: Vec<u16>,
-    /// Its caller ended it.
+    /// True if its caller ended it.
     #[serde(rename = "x")]
     pub ended: bool,
-    /// The items without a result that endpoints answered with an error. It is
-    /// kept here and not with the owner: a job that changed its owner often
-    /// would run an item that always fails without end, and hold slots for it.
+    /// Items without a result that endpoints answered with an error. The counts are stored with the
+    /// job: if each owner counted anew, a job that changes its owner often would run an item that
+    /// always fails without end, and occupy slots with it.
     #[serde(rename = "f", default, skip_serializing_if = "Vec::is_empty")]
     pub failures: Vec<Failure>,
 }
 
-/// How often an item failed, whoever ran it.
+/// Number of failures of an item, over all owners.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Failure {
-    /// The item's number.
+    /// Index of the item.
     #[serde(rename = "i")]
     pub item: u16,
     /// Runs that an endpoint ended with an error of its own.
@@ -63,7 +63,7 @@
 }
 
 impl Record {
-    /// How often the item of that number failed so far.
+    /// Number of failed runs of the item so far.
     pub fn failed_runs(&self, item: usize) -> u32 {
         let failure = self
             .failures
@@ -72,12 +72,12 @@
         failure.map_or(0, |failure| failure.runs)
     }
 
-    /// True when nothing is left to do.
-    pub fn is_over(&self) -> bool {
+    /// Returns true if nothing is left to do.
+    pub fn is_finished(&self) -> bool {
         self.ended || self.done.len() >= self.tokens.len()
     }
 
-    /// Tokens of the items that wait for a result.
+    /// Tokens of the items that have no result yet.
     pub fn waiting_tokens(&self) -> u64 {
         if self.ended {
             return 0;
@@ -92,57 +92,57 @@
         all.saturating_sub(done)
     }
 
-    /// Reads a row's value.
+    /// Decodes the value of a row.
     ///
     /// # Errors
-    /// When it is no record.
+    /// If the value is not a record.
     pub fn decode(value: &[u8]) -> Result<Self, String> {
         ciborium::from_reader(value).map_err(|error| error.to_string())
     }
 
-    /// The row's value.
+    /// Encodes the value of a row.
     pub fn encode(&self) -> Vec<u8> {
         encode(self)
     }
 }
 
-/// Plain data always has a CBOR form.
+/// Encodes plain data as CBOR, which cannot fail.
 pub(super) fn encode<T>(value: &T) -> Vec<u8>
 where
     T: Serialize,
 {
     let mut bytes = Vec::with_capacity(256);
-    // Writing into memory can't fail.
+    // Writing into memory cannot fail.
     let _ = ciborium::into_writer(value, &mut bytes);
     bytes
 }
 
-/// The key of a job's row.
+/// Key of a job's row.
 pub fn key(job: &str) -> String {
     format!("{TABLE}/{job}")
 }
 
-/// What the keys of a job's results begin with.
+/// Prefix of the keys of a job's results.
 pub fn results(job: &str) -> String {
     format!("{RESULTS}/{job}.")
 }
 
-/// The key of the result at a position.
+/// Key of the result at a position.
 pub fn result(job: &str, position: usize) -> String {
     format!("{RESULTS}/{job}.{position:04}")
 }
 
-/// What the keys of a job's unfinished runs begin with.
+/// Prefix of the keys of a job's unfinished outputs.
 pub fn partials(job: &str) -> String {
     format!("{PARTIALS}/{job}.")
 }
 
-/// The key of what an item's run had brought.
+/// Key of the unfinished output of an item.
 pub fn partial(job: &str, item: usize) -> String {
     format!("{PARTIALS}/{job}.{item:04}")
 }
 
-/// The key of the row that orders an organisation's acceptances on a route.
+/// Key of the row that orders an organisation's acceptances on a route.
 pub fn quota(host: &str, prefix: &str, organisation: Option<&str>) -> String {
     let route = format!("{QUOTAS}/{host}.{}", prefix.trim_matches('/'));
     match organisation {
@@ -151,7 +151,7 @@
     }
 }
 
-/// The object with a job's items.
+/// Name of the object that holds a job's items.
 pub fn object(job: &str) -> String {
     format!("job-{job}")
 }
--- a/src/batch/ledger.rs
+++ b/src/batch/registry.rs
@@ -1,4 +1,4 @@
-//! All batch jobs that a node knows of, out of the store's rows.
+//! In-memory copy of the store's rows of batch jobs.
 
 use std::collections::BTreeMap;
 
@@ -11,32 +11,32 @@
 pub struct Entry {
     /// The row's version.
     pub version: u64,
-    /// What it says.
+    /// The row's content.
     pub record: Record,
 }
 
-/// The jobs, and the store's clock.
+/// All jobs, and the store's clock.
 #[derive(Debug, Default)]
-pub struct Ledger {
+pub struct Registry {
     jobs: BTreeMap<Name, Entry>,
-    /// When the store was last heard, and what its clock said.
+    /// When the store last answered, and its clock at that time.
     clock: Option<(Time, u64)>,
-    /// The version up to which rows are known.
+    /// Rows are complete up to this version.
     version: u64,
 }
 
-impl Ledger {
-    /// The job of that name.
+impl Registry {
+    /// Returns the job with that id.
     pub fn get(&self, job: &str) -> Option<&Entry> {
         self.jobs.get(job)
     }
 
-    /// All jobs.
+    /// Iterates over all jobs.
     pub fn iter(&self) -> impl Iterator<Item = (&Name, &Entry)> {
         self.jobs.iter()
     }
 
-    /// Takes a row; false when a newer one is known.
+    /// Takes a row; returns false if a newer one is present already.
     pub fn apply(&mut self, job: &Name, version: u64, record: Record) -> bool {
         if self
             .jobs
@@ -49,7 +49,7 @@
         true
     }
 
-    /// A job's rows were removed.
+    /// Removes a job whose row was deleted at `version`.
     pub fn remove(&mut self, job: &str, version: u64) {
         if self
             .jobs
@@ -60,29 +60,30 @@
         }
     }
 
-    /// Everything up to `version` is known, and the store's clock said `clock`.
-    pub fn heard(&mut self, now: Time, version: u64, clock: u64) {
+    /// Records that rows are complete up to `version`, and that the store's clock read `clock` at
+    /// `now`.
+    pub fn synced(&mut self, now: Time, version: u64, clock: u64) {
         self.version = self.version.max(version);
         self.clock = Some((now, clock));
     }
 
-    /// The version up to which rows are known.
+    /// The version up to which rows are complete.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// When the store was last heard.
-    pub fn heard_at(&self) -> Option<Time> {
+    /// When the store last answered.
+    pub fn synced_at(&self) -> Option<Time> {
         self.clock.map(|(at, _)| at)
     }
 
-    /// What the store's clock says now, in milliseconds.
+    /// Estimate of the store's clock at `now`, in milliseconds.
     pub fn store_now(&self, now: Time) -> Option<u64> {
         let (at, clock) = self.clock?;
         Some(clock + u64::try_from(now.since(at).as_millis()).unwrap_or(0))
     }
 
-    /// Tokens of an organisation that wait on a route, over all nodes.
+    /// Waiting tokens of an organisation on a route, over all nodes.
     pub fn waiting_tokens(&self, host: &str, prefix: &str, organisation: Option<&str>) -> u64 {
         let counts = |record: &Record| {
             *record.host == *host
--- a/src/batch/release.rs
+++ b/src/batch/release.rs
@@ -1,4 +1,4 @@
-//! Handing jobs over when the node leaves, with what unfinished runs brought.
+//! Releases jobs when the node leaves, together with the output of unfinished runs.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -6,58 +6,58 @@
 use tokio::time::{Instant, sleep};
 
 use super::item::Partial;
-use super::ledger::Entry;
 use super::record::{self, Record};
+use super::registry::Entry;
 use super::shell::Jobs;
 use super::work::Work;
 use crate::event;
 use crate::table::{Expect, Fault, Table as _, Transaction};
 
-/// How long handing over is tried; after it the members see that the owner is
-/// gone, which takes a few seconds longer.
-const LIMIT: Duration = Duration::from_secs(4);
-/// Pause between two tries.
-const PAUSE: Duration = Duration::from_millis(150);
-/// Bytes of unfinished output that go along; the store takes 1 MB at once.
-const PARTIAL_BYTES: usize = 400 * 1024;
-/// Rows of unfinished output that go along; the store takes 100 at once.
-const PARTIAL_ROWS: usize = 80;
+/// Longest time for which releasing a job is retried. After it, the other members detect that the
+/// owner is gone, which takes a few seconds longer.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Delay between attempts.
+const RETRY_DELAY: Duration = Duration::from_millis(150);
+/// Bytes of unfinished output stored on release; the store accepts 1 MB in a transaction.
+const MAX_PARTIAL_BYTES: usize = 400 * 1024;
+/// Rows of unfinished output stored on release; the store accepts 100 in a transaction.
+const MAX_PARTIAL_ROWS: usize = 80;
 
 impl Jobs {
-    /// Gives every job of this node to whoever takes it.
+    /// Releases every job of this node, so that other nodes can claim them.
     pub(super) fn release(self: &Rc<Self>) {
         let works: Vec<Rc<Work>> = self.works.borrow().values().cloned().collect();
         for work in &works {
-            // Ends the runs; what they brought stays in the partials.
-            work.pause();
+            // Their output so far stays in the partials.
+            work.abort_runs();
         }
         for work in works {
             let jobs = Rc::clone(self);
-            actix_rt::spawn(async move { hand_over(&jobs, &work).await });
+            actix_rt::spawn(async move { release_job(&jobs, &work).await });
         }
     }
 }
 
-async fn hand_over(jobs: &Rc<Jobs>, work: &Rc<Work>) {
-    let until = Instant::now() + LIMIT;
+async fn release_job(jobs: &Rc<Jobs>, work: &Rc<Work>) {
+    let until = Instant::now() + RELEASE_TIMEOUT;
     while Instant::now() < until {
-        // Results and failures first; the task that stores them ends by itself.
-        if work.committing.get() || work.has_news() {
+        // Results and failures are stored first, by a task that ends when nothing is left.
+        if work.committing.get() || work.has_unstored() {
             jobs.commit(work);
-            sleep(PAUSE / 4).await;
+            sleep(RETRY_DELAY / 4).await;
             continue;
         }
-        if work.stopped.get() || work.entry.borrow().record.is_over() {
+        if work.stopped.get() || work.entry.borrow().record.is_finished() {
             return;
         }
-        match try_hand_over(jobs, work).await {
+        match try_release(jobs, work).await {
             Ok(()) => {
                 jobs.drop_work(work, "handed_over");
                 return;
             }
             Err(fault) => {
                 log::info!("{} job={} why=\"{fault}\"", event::STORE_CALL_LOST, work.id);
-                sleep(PAUSE).await;
+                sleep(RETRY_DELAY).await;
                 if let Ok(Some(entry)) = jobs.reload(&work.id).await {
                     if jobs.is_mine(&entry.record) {
                         *work.entry.borrow_mut() = entry;
@@ -71,7 +71,7 @@
     }
 }
 
-async fn try_hand_over(jobs: &Rc<Jobs>, work: &Rc<Work>) -> Result<(), Fault> {
+async fn try_release(jobs: &Rc<Jobs>, work: &Rc<Work>) -> Result<(), Fault> {
     let Entry { version, record } = work.entry.borrow().clone();
     let released = Record {
         owner: None,
@@ -86,8 +86,9 @@
     for (item, partial) in work.partials.borrow().iter().enumerate() {
         let done = released.done.iter().any(|done| usize::from(*done) == item);
         let size = partial.output.len();
-        let fits =
-            size < jobs.setup.row_bytes / 2 && bytes + size <= PARTIAL_BYTES && rows < PARTIAL_ROWS;
+        let fits = size < jobs.setup.row_bytes / 2
+            && bytes + size <= MAX_PARTIAL_BYTES
+            && rows < MAX_PARTIAL_ROWS;
         if done || *partial == Partial::default() || !fits {
             continue;
         }
--- a/src/batch/retire.rs
+++ b/src/batch/retire.rs
@@ -1,4 +1,4 @@
-//! Removing jobs whose results nobody may ask for any more.
+//! Removes jobs whose results have passed their retention period.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,49 +9,48 @@
 use crate::name::Name;
 use crate::table::{Fault, Store as _, Table as _, Transaction};
 
-/// How much longer than promised results stay, so that a reader at the very end
-/// still gets them although clocks differ.
-const SLACK: Duration = Duration::from_secs(60);
-/// Rows removed in one transaction; the store takes 100.
-const ROWS: usize = 90;
-/// Jobs that one look removes at most, so that it never takes many calls.
-const JOBS: usize = 4;
+/// Results are kept this much longer than promised, so that a read at the very end succeeds
+/// although clocks differ.
+const RETENTION_SLACK: Duration = Duration::from_secs(60);
+/// Rows removed in one transaction; the store accepts 100.
+const MAX_ROWS: usize = 90;
+/// Most jobs removed in one pass, which bounds the number of store calls.
+const MAX_JOBS: usize = 4;
 
-/// Removes jobs that are over and older than results are kept; each falls to
-/// one member.
-pub(super) async fn retire(jobs: &Rc<Jobs>) {
-    for job in due(jobs) {
+/// Removes finished jobs past the retention period. Each job is assigned to one member.
+pub(super) async fn remove_expired(jobs: &Rc<Jobs>) {
+    for job in expired(jobs) {
         if let Err(fault) = remove(jobs, &job).await {
-            // It is tried again at the next look.
+            // The next pass retries.
             log::debug!("{} job={job} why=\"{fault}\"", event::STORE_CALL_LOST);
         }
     }
 }
 
-fn due(jobs: &Jobs) -> Vec<Name> {
-    let ledger = jobs.ledger.borrow();
-    let Some(now) = ledger.store_now(jobs.now()) else {
+fn expired(jobs: &Jobs) -> Vec<Name> {
+    let registry = jobs.registry.borrow();
+    let Some(now) = registry.store_now(jobs.now()) else {
         return Vec::new();
     };
-    let kept = jobs.setup.result_retention + SLACK;
-    let kept = u64::try_from(kept.as_millis()).unwrap_or(u64::MAX);
+    let retention = jobs.setup.result_retention + RETENTION_SLACK;
+    let retention = u64::try_from(retention.as_millis()).unwrap_or(u64::MAX);
     let view = jobs.setup.view.read();
-    ledger
+    registry
         .iter()
-        .filter(|(_, entry)| entry.record.is_over())
-        .filter(|(_, entry)| now.saturating_sub(entry.record.accepted) > kept)
+        .filter(|(_, entry)| entry.record.is_finished())
+        .filter(|(_, entry)| now.saturating_sub(entry.record.accepted) > retention)
         .filter(|(job, _)| view.rank(job, &jobs.setup.me) == 0)
         .map(|(job, _)| job.clone())
-        .take(JOBS)
+        .take(MAX_JOBS)
         .collect()
 }
 
-/// Removes a job's results first and its own row last, so that what is left
-/// after a break is found again.
+/// Removes a job's results first and its own row last, so that an interrupted removal is found and
+/// completed later.
 async fn remove(jobs: &Rc<Jobs>, job: &Name) -> Result<(), Fault> {
     for prefix in [record::results(job), record::partials(job)] {
         loop {
-            let page = jobs.setup.store.scan(&prefix, "", ROWS).await?;
+            let page = jobs.setup.store.scan(&prefix, "", MAX_ROWS).await?;
             if page.rows.is_empty() {
                 break;
             }
--- a/src/batch/run.rs
+++ b/src/batch/run.rs
@@ -1,5 +1,5 @@
-//! Runs one item of a job at an endpoint, and goes on elsewhere after a stop or
-//! a failure.
+//! Runs one item of a job at an endpoint. After a stop or a failure the item is queued again and
+//! resumes at another endpoint.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,9 +8,9 @@
 use hyper::StatusCode;
 use tokio::time::timeout;
 
-use super::commit::FAILED_PAUSE;
+use super::commit::RETRY_DELAY;
 use super::item::State;
-use super::shell::{Asking, Jobs};
+use super::shell::{Jobs, Pending};
 use super::work::{Slot, Work};
 use crate::connect;
 use crate::event;
@@ -22,42 +22,41 @@
 use crate::quarantine::ward::Run;
 use crate::split::{self, Splitter};
 
-/// Most time to connect to an endpoint.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// An endpoint that sends nothing for so long is given up; events come every
-/// 20 ms, and every 100 ms at one that is five times as slow.
-const SILENCE: Duration = Duration::from_secs(1);
-/// How long a batch item waits at one pool before it tries another; where the
-/// service has one pool it keeps its turn by its due time anyway.
-const PATIENCE: Duration = Duration::from_millis(2_500);
+/// An endpoint that sends nothing for this long is given up. Events arrive every 20 ms, or every
+/// 100 ms from an endpoint that is five times as slow.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long a batch item waits at one pool before it tries another. If the service has one pool,
+/// the item keeps its place there, which depends on its due time.
+const QUEUE_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// How a run ended.
-enum Ended {
-    /// The output is whole.
+enum Exit {
+    /// The output is complete.
     Done,
-    /// The item can never be done.
+    /// The item can never be completed.
     Impossible,
-    /// The endpoint answered that it failed.
+    /// The endpoint answered with an error.
     Failed,
-    /// Something else went wrong; it counts for nothing.
-    Broken(End, &'static str),
-    /// The pool wanted the place back.
+    /// Any other interruption, which does not count as a failure of the item.
+    Interrupted(End, &'static str),
+    /// The pool reclaimed the slot.
     Stopped,
-    /// It crashes endpoints.
+    /// The item crashes endpoints.
     Condemned,
 }
 
-/// Runs an item once; what it brought stays in the job's memory.
-pub(super) async fn run(jobs: Rc<Jobs>, work: Rc<Work>, item: usize, asking: Asking) {
+/// Runs an item once; output that it produced is kept in memory for the next run.
+pub(super) async fn run(jobs: Rc<Jobs>, work: Rc<Work>, item: usize, pending: Pending) {
     let Some((service, forward, attempts)) = prepare(&jobs, &work, item) else {
-        drop(asking);
-        return back(&jobs, &work, item, "no_route");
+        drop(pending);
+        return requeue(&jobs, &work, item, "no_route");
     };
     let ward = Rc::clone(&jobs.setup.ward);
-    let request = work.print(item);
+    let request = work.fingerprint(item);
     let suspect = match ward.standing(request) {
-        Standing::Condemned => return condemned(&jobs, &work, item),
-        Standing::Held(_) => return back(&jobs, &work, item, "held"),
+        Standing::Condemned => return suspend(&jobs, &work, item),
+        Standing::Held(_) => return requeue(&jobs, &work, item, "held"),
         Standing::Suspect => true,
         Standing::Clear => false,
     };
@@ -68,20 +67,20 @@
             class: Class::Batch,
             priority: u8::MAX,
             zone: jobs.setup.zone.clone(),
-            patience: PATIENCE,
-            due: work.urgency(now, item, &jobs.pace).since(now),
+            patience: QUEUE_TIMEOUT,
+            due: work.urgency(now, item, &jobs.estimator).since(now),
             prefix: 0,
-            organisation: work.organisation(),
+            organisation: work.organisation_hash(),
             request,
             suspect,
             avoid: work.failed_at.borrow()[item].clone(),
         },
     };
     let permit = jobs.setup.desk.acquire(want).await;
-    drop(asking);
+    drop(pending);
     jobs.schedule();
     let Ok(permit) = permit else {
-        return back(&jobs, &work, item, "no_place");
+        return requeue(&jobs, &work, item, "no_place");
     };
     log::debug!(
         "{} job={} id={} endpoint={} last={:?}",
@@ -93,20 +92,20 @@
     );
     let began = jobs.now();
     let is_first = work.partials.borrow()[item].last.is_none();
-    let ended = tokio::select! {
-        // A slot that is wanted back goes first.
+    let exit = tokio::select! {
+        // Reclaiming the slot has priority.
         biased;
-        () = permit.stopped() => Ended::Stopped,
-        () = ward.condemned(request) => Ended::Condemned,
-        ended = exchange(&work, item, &forward, &permit) => ended,
+        () = permit.stopped() => Exit::Stopped,
+        () = ward.condemned(request) => Exit::Condemned,
+        exit = exchange(&work, item, &forward, &permit) => exit,
     };
     let took = jobs.now().since(began);
-    work.ran.borrow_mut()[item] += took;
-    if is_first && matches!(ended, Ended::Done) {
-        jobs.pace.learn(work.items[item].tokens, took);
+    work.run_time.borrow_mut()[item] += took;
+    if is_first && matches!(exit, Exit::Done) {
+        jobs.estimator.record(work.items[item].tokens, took);
     }
-    let ended = match ended {
-        Ended::Broken(End::Error, why) => {
+    let exit = match exit {
+        Exit::Interrupted(End::Error, why) => {
             let run = Run {
                 id: &work.items[item].id,
                 request,
@@ -114,17 +113,17 @@
                 why,
             };
             match ward.lost(&permit.endpoint, run).await {
-                Finding::Crashed => Ended::Broken(End::Crashed, why),
-                Finding::Innocent | Finding::Open => Ended::Broken(End::Error, why),
+                Finding::Crashed => Exit::Interrupted(End::Crashed, why),
+                Finding::Innocent | Finding::Open => Exit::Interrupted(End::Error, why),
             }
         }
-        Ended::Done => {
+        Exit::Done => {
             ward.sound(request);
-            Ended::Done
+            Exit::Done
         }
-        ended => ended,
+        exit => exit,
     };
-    finish(&jobs, &work, item, attempts, permit, &ended);
+    finish(&jobs, &work, item, attempts, permit, &exit);
 }
 
 fn prepare(jobs: &Jobs, work: &Work, item: usize) -> Option<(crate::name::Name, Forward, u32)> {
@@ -149,41 +148,41 @@
     xxhash_rust::xxh3::xxh3_64(id.as_bytes())
 }
 
-async fn exchange(work: &Work, item: usize, forward: &Forward, permit: &Permit) -> Ended {
+async fn exchange(work: &Work, item: usize, forward: &Forward, permit: &Permit) -> Exit {
     let endpoint = &permit.endpoint;
     let Ok(mut conn) = connect::open(endpoint.address, CONNECT_TIMEOUT).await else {
-        return Ended::Broken(End::Failed, "connect");
+        return Exit::Interrupted(End::Failed, "connect");
     };
     let last = work.partials.borrow()[item].last;
     let Ok(request) = forward.request(endpoint, None, last) else {
-        return Ended::Impossible;
+        return Exit::Impossible;
     };
-    let response = match timeout(SILENCE, conn.send(request)).await {
+    let response = match timeout(IDLE_TIMEOUT, conn.send(request)).await {
         Ok(Ok(response)) => response,
-        Ok(Err(_)) => return Ended::Broken(End::Error, "broken_before_head"),
-        Err(_) => return Ended::Broken(End::Error, "silent_before_head"),
+        Ok(Err(_)) => return Exit::Interrupted(End::Error, "broken_before_head"),
+        Err(_) => return Exit::Interrupted(End::Error, "silent_before_head"),
     };
     match forward::verdict(&response, &forward.id) {
-        Verdict::Full => return Ended::Broken(End::Full, "full"),
-        Verdict::Elsewhere => return Ended::Broken(End::Failed, "elsewhere"),
-        Verdict::Foreign => return Ended::Broken(End::Error, "foreign_answer"),
-        Verdict::Impossible => return Ended::Impossible,
+        Verdict::Full => return Exit::Interrupted(End::Full, "full"),
+        Verdict::Elsewhere => return Exit::Interrupted(End::Failed, "elsewhere"),
+        Verdict::Foreign => return Exit::Interrupted(End::Error, "foreign_answer"),
+        Verdict::Impossible => return Exit::Impossible,
         Verdict::Failed if response.status() == StatusCode::INTERNAL_SERVER_ERROR => {
-            return Ended::Failed;
+            return Exit::Failed;
         }
-        Verdict::Failed => return Ended::Broken(End::Error, "endpoint_error"),
+        Verdict::Failed => return Exit::Interrupted(End::Error, "endpoint_error"),
         Verdict::Answer => {}
     }
     if !response.status().is_success() || !forward::is_stream(response.headers()) {
-        return Ended::Broken(End::Error, "unexpected_answer");
+        return Exit::Interrupted(End::Error, "unexpected_answer");
     }
     let mut body = response.into_body();
     let mut splitter = Splitter::default();
     loop {
-        let frame = match timeout(SILENCE, body.frame()).await {
-            Err(_) => return Ended::Broken(End::Error, "silent"),
+        let frame = match timeout(IDLE_TIMEOUT, body.frame()).await {
+            Err(_) => return Exit::Interrupted(End::Error, "silent"),
             Ok(None) => break,
-            Ok(Some(Err(_))) => return Ended::Broken(End::Error, "broken_stream"),
+            Ok(Some(Err(_))) => return Exit::Interrupted(End::Error, "broken_stream"),
             Ok(Some(Ok(frame))) => frame,
         };
         let Ok(bytes) = frame.into_data() else {
@@ -192,22 +191,22 @@
         match splitter.push(&bytes) {
             Ok(None) => {}
             Ok(Some(events)) => {
-                if !take(work, item, &events) {
-                    return Ended::Broken(End::Error, "event_order");
+                if !append(work, item, &events) {
+                    return Exit::Interrupted(End::Error, "event_order");
                 }
                 permit.begun();
             }
-            Err(_) => return Ended::Broken(End::Error, "event_size"),
+            Err(_) => return Exit::Interrupted(End::Error, "event_size"),
         }
     }
     if !splitter.rest().is_empty() || work.partials.borrow()[item].last.is_none() {
-        return Ended::Broken(End::Error, "truncated");
+        return Exit::Interrupted(End::Error, "truncated");
     }
-    Ended::Done
+    Exit::Done
 }
 
-/// Adds whole events to what an item has; false when they don't follow on it.
-fn take(work: &Work, item: usize, events: &split::Events) -> bool {
+/// Appends whole events to an item's output; returns false if they are not in sequence.
+fn append(work: &Work, item: usize, events: &split::Events) -> bool {
     let mut partials = work.partials.borrow_mut();
     let partial = &mut partials[item];
     if let (Some(first), Some(last)) = (events.first, partial.last)
@@ -228,19 +227,19 @@
     item: usize,
     attempts: u32,
     permit: Permit,
-    ended: &Ended,
+    exit: &Exit,
 ) {
-    match ended {
-        Ended::Done => {
+    match exit {
+        Exit::Done => {
             permit.finish(End::Done);
-            settle(jobs, work, item, State::Done, "done");
+            record_outcome(jobs, work, item, State::Done, "done");
         }
-        Ended::Impossible => {
+        Exit::Impossible => {
             permit.finish(End::Done);
-            settle(jobs, work, item, State::Failed, "impossible");
+            record_outcome(jobs, work, item, State::Failed, "impossible");
         }
-        Ended::Failed => {
-            // It counts against the item; another endpoint may do better.
+        Exit::Failed => {
+            // The failure counts against the item, but another endpoint may complete it.
             work.failed_at.borrow_mut()[item].push(permit.endpoint.id.clone());
             permit.finish(End::Error);
             let failures = {
@@ -249,22 +248,22 @@
                 failures[item]
             };
             if failures >= attempts {
-                settle(jobs, work, item, State::Failed, "attempts_used");
+                record_outcome(jobs, work, item, State::Failed, "attempts_used");
             } else {
-                stopped(jobs, work, item, "endpoint_error");
-                work.set(item, Slot::Failing);
+                report_stop(jobs, work, item, "endpoint_error");
+                work.set(item, Slot::FailureUnstored);
                 jobs.commit(work);
             }
         }
-        Ended::Broken(end, why) => {
+        Exit::Interrupted(end, why) => {
             permit.finish(*end);
-            back(jobs, work, item, why);
+            requeue(jobs, work, item, why);
         }
-        Ended::Condemned => {
+        Exit::Condemned => {
             permit.finish(End::Left);
-            condemned(jobs, work, item);
+            suspend(jobs, work, item);
         }
-        Ended::Stopped => {
+        Exit::Stopped => {
             permit.finish(End::Stopped);
             jobs.setup.count.item("stopped");
             log::debug!(
@@ -280,8 +279,8 @@
     }
 }
 
-/// An item has its final outcome.
-fn settle(jobs: &Rc<Jobs>, work: &Rc<Work>, item: usize, state: State, why: &'static str) {
+/// Records the final outcome of an item.
+fn record_outcome(jobs: &Rc<Jobs>, work: &Rc<Work>, item: usize, state: State, why: &'static str) {
     let event = match state {
         State::Done => event::ITEM_DONE,
         State::Failed => event::ITEM_FAILED,
@@ -296,21 +295,21 @@
     jobs.commit(work);
 }
 
-/// An item waits a moment and is run again.
-fn back(jobs: &Rc<Jobs>, work: &Rc<Work>, item: usize, why: &'static str) {
-    stopped(jobs, work, item, why);
-    work.set(item, Slot::Ready(jobs.now() + FAILED_PAUSE));
+/// Queues an item to run again after a delay.
+fn requeue(jobs: &Rc<Jobs>, work: &Rc<Work>, item: usize, why: &'static str) {
+    report_stop(jobs, work, item, why);
+    work.set(item, Slot::Ready(jobs.now() + RETRY_DELAY));
 }
 
-/// The item crashes endpoints. It is not run any more, and listed as failed when its
-/// job's lifetime ends: until then its caller is owed that it is tried.
-fn condemned(jobs: &Rc<Jobs>, work: &Rc<Work>, item: usize) {
-    stopped(jobs, work, item, "condemned");
+/// Suspends an item that crashes endpoints. It is not run again, but listed as failed only when the
+/// job's lifetime ends, since its caller may expect attempts until then.
+fn suspend(jobs: &Rc<Jobs>, work: &Rc<Work>, item: usize) {
+    report_stop(jobs, work, item, "condemned");
     work.set(item, Slot::Ready(work.expires));
 }
 
-/// Tells that a run ended without an outcome.
-fn stopped(jobs: &Jobs, work: &Work, item: usize, why: &'static str) {
+/// Logs and counts a run that ended without an outcome.
+fn report_stop(jobs: &Jobs, work: &Work, item: usize, why: &'static str) {
     log::info!(
         "{} job={} id={} why={why} last={:?}",
         event::ITEM_STOPPED,
--- a/src/batch/shell.rs
+++ b/src/batch/shell.rs
@@ -1,5 +1,5 @@
-//! The batch jobs of one node: what it knows, what it runs, and what it starts
-//! next.
+//! The batch jobs of one node: its copy of all jobs, the jobs that it runs, and which item it
+//! starts next.
 
 use std::cell::{Cell as Flag, RefCell};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -11,10 +11,10 @@
 use tokio::time::sleep;
 
 use super::item::Item;
-use super::ledger::{Entry, Ledger};
 use super::read::Cache;
 use super::record::{self, Record};
-use super::work::{Pace, Slot, Work};
+use super::registry::{Entry, Registry};
+use super::work::{Estimator, Slot, Work};
 use super::{orphan, retire, run};
 use crate::catalog::{Catalog, Config, Kind, Route, Terms};
 use crate::clock::{Clock, Time};
@@ -31,120 +31,123 @@
 use crate::snapshot::Cell;
 use crate::table::{Changes, Feed};
 
-/// Items that wait for a place at a time; a pool that has room grants one in
-/// a few milliseconds, so more would only repeat themselves to it.
-const ASKING: usize = 3;
-/// How often jobs without an owner are looked for.
-const TICK: Duration = Duration::from_millis(200);
-/// How often jobs that may be removed are looked for.
-const RETIRE: Duration = Duration::from_secs(30);
-/// How long a job's route may be unknown before its items are given up. A node
-/// that has just started, or reads from a copy of the store that is behind, may
-/// take a job over before it hears of a route that is newer: it would list
-/// items as failed that can be done. A configuration is in force everywhere
-/// within 3 s, and copies are up to 5 s behind.
-const ROUTE_GRACE: Duration = Duration::from_secs(8);
-/// Least time between two readings of the jobs' changes: a job's rows change
-/// with each result, and readers are told within a second.
-const FEED_GAP: Duration = Duration::from_millis(200);
+/// Items that wait for a slot at the same time. A pool with free slots grants one within a few
+/// milliseconds, so more requests would only be repeated to it.
+const MAX_PENDING: usize = 3;
+/// Interval between checks for jobs without an owner, expired items and items to start.
+const SCHEDULE_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval between passes that remove jobs past their retention period.
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(30);
+/// How long a job's route may be unknown before its items are given up. A node that has just
+/// started, or that reads a stale copy of the store, may take over a job before it sees the job's
+/// new route, and would list items as failed that can be completed. A configuration is in force
+/// everywhere within 3 s, and copies are up to 5 s behind.
+const ROUTE_GRACE_PERIOD: Duration = Duration::from_secs(8);
+/// Least time between two reads of the job feed. A job's row changes with each result, while
+/// readers need to see one only within a second.
+const MIN_FEED_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What [`Jobs`] works with.
+/// Dependencies of [`Jobs`].
 pub struct Setup {
-    /// This process's name among the members.
+    /// This process's name in the member list.
     pub me: Name,
     /// The node's availability zone.
     pub zone: Name,
     /// The process's clock.
     pub clock: Clock,
-    /// The store.
+    /// Client of the store.
     pub store: Client,
     /// Largest value of a row, in bytes.
     pub row_bytes: usize,
-    /// For how long results stay readable.
+    /// Retention period of results.
     pub result_retention: Duration,
-    /// Admission.
+    /// Admission control.
     pub desk: Rc<Desk>,
-    /// The quarantine.
+    /// The quarantine for requests that crash endpoints.
     pub ward: Rc<Ward>,
     /// Configuration and endpoints.
     pub catalog: Arc<Cell<Catalog>>,
-    /// The members.
+    /// The member list.
     pub view: Arc<Cell<View>>,
-    /// How far the node is in its life.
+    /// Lifecycle phase of the node.
     pub phase: Arc<Cell<Phase>>,
-    /// The counters.
+    /// Metrics.
     pub count: Count,
 }
 
 /// The batch jobs of one node.
 pub struct Jobs {
     pub(super) setup: Setup,
-    pub(super) ledger: RefCell<Ledger>,
+    pub(super) registry: RefCell<Registry>,
     pub(super) works: RefCell<BTreeMap<Name, Rc<Work>>>,
     pub(super) cache: RefCell<Cache>,
     /// When a job was first seen without a live owner.
     pub(super) orphans: RefCell<HashMap<Name, Time>>,
-    /// Until when a claim that failed is not repeated.
+    /// Time until which a failed claim is not retried.
     pub(super) claim_after: RefCell<HashMap<Name, Time>>,
-    /// Jobs that are being taken over now.
-    pub(super) taking: RefCell<HashSet<Name>>,
-    /// Told at each change of the ledger.
+    /// Jobs for which a claim is in progress.
+    pub(super) claiming: RefCell<HashSet<Name>>,
+    /// Notified at each change of the registry.
     pub(super) changed: Notify,
     pub(super) started: Time,
-    pub(super) pace: Pace,
-    asking: Flag<usize>,
+    pub(super) estimator: Estimator,
+    pending: Flag<usize>,
 }
 
 impl Jobs {
-    /// No jobs yet.
+    /// Creates the state of a node without jobs.
     pub fn new(setup: Setup) -> Rc<Self> {
         let started = setup.clock.now();
         Rc::new(Self {
             setup,
-            ledger: RefCell::default(),
+            registry: RefCell::default(),
             works: RefCell::default(),
             cache: RefCell::default(),
             orphans: RefCell::default(),
             claim_after: RefCell::default(),
-            taking: RefCell::default(),
+            claiming: RefCell::default(),
             changed: Notify::new(),
             started,
-            pace: Pace::default(),
-            asking: Flag::new(0),
+            estimator: Estimator::default(),
+            pending: Flag::new(0),
         })
     }
 
-    /// Follows the jobs over `feed` and runs this node's for as long as the
-    /// thread lives.
+    /// Follows the jobs over `feed` and runs the jobs of this node until the thread ends.
     pub async fn run<F>(self: Rc<Self>, feed: F)
     where
         F: Feed + 'static,
     {
-        let learner = Rc::clone(&self);
-        actix_rt::spawn(follow(feed, record::TABLE, FEED_GAP, move |news| {
-            learner.learn(news);
-        }));
-        let retiring = Rc::clone(&self);
+        let follower = Rc::clone(&self);
+        actix_rt::spawn(follow(
+            feed,
+            record::TABLE,
+            MIN_FEED_INTERVAL,
+            move |update| {
+                follower.handle_update(update);
+            },
+        ));
+        let remover = Rc::clone(&self);
         actix_rt::spawn(async move {
             loop {
-                sleep(RETIRE).await;
-                retire::retire(&retiring).await;
+                sleep(EXPIRY_INTERVAL).await;
+                retire::remove_expired(&remover).await;
             }
         });
         let mut released = false;
         loop {
-            sleep(TICK).await;
+            sleep(SCHEDULE_INTERVAL).await;
             if !released && !matches!(**self.setup.phase.read(), Phase::Starting | Phase::Serving) {
                 released = true;
                 self.release();
             }
-            orphan::adopt(&self);
+            orphan::claim_orphans(&self);
             self.expire();
             self.schedule();
         }
     }
 
-    /// Jobs that this node still holds.
+    /// Number of jobs that this node owns.
     pub fn running(&self) -> usize {
         self.works.borrow().len()
     }
@@ -153,47 +156,47 @@
         self.setup.clock.now()
     }
 
-    fn learn(self: &Rc<Self>, news: Update) {
+    fn handle_update(self: &Rc<Self>, update: Update) {
         let now = self.now();
-        match news {
+        match update {
             Update::Snapshot(snapshot) => {
                 for row in snapshot.rows {
-                    self.learn_row(&row.key.into(), row.version, &row.value);
+                    self.apply_row(&row.key.into(), row.version, &row.value);
                 }
-                self.ledger
+                self.registry
                     .borrow_mut()
-                    .heard(now, snapshot.version, snapshot.clock);
+                    .synced(now, snapshot.version, snapshot.clock);
             }
-            Update::Changes(changes) => self.learn_changes(changes),
+            Update::Changes(changes) => self.apply_changes(changes),
             Update::Failed => return,
         }
         self.changed.notify_waiters();
     }
 
-    pub(super) fn learn_changes(self: &Rc<Self>, changes: Changes) {
+    pub(super) fn apply_changes(self: &Rc<Self>, changes: Changes) {
         for change in changes.changes {
             if let Some(value) = change.value {
-                self.learn_row(&change.key.into(), change.version, &value);
+                self.apply_row(&change.key.into(), change.version, &value);
             } else {
-                let mut ledger = self.ledger.borrow_mut();
-                ledger.remove(&change.key, change.version);
+                let mut registry = self.registry.borrow_mut();
+                registry.remove(&change.key, change.version);
             }
         }
         let said = self.now() - changes.age;
-        self.ledger
+        self.registry
             .borrow_mut()
-            .heard(said, changes.version, changes.clock);
+            .synced(said, changes.version, changes.clock);
     }
 
-    fn learn_row(self: &Rc<Self>, job: &Name, version: u64, value: &[u8]) {
+    fn apply_row(self: &Rc<Self>, job: &Name, version: u64, value: &[u8]) {
         match Record::decode(value) {
             Ok(record) => self.apply(job, version, record),
             Err(why) => log::warn!("{} job={job} why=\"{why}\"", event::ROW_UNREADABLE),
         }
     }
 
-    /// Takes a job's row, wherever it came from, and stops work on a job that
-    /// was ended or that another node has.
+    /// Applies a job's row from any source, and stops work on a job that was ended or that another
+    /// node owns.
     pub(super) fn apply(self: &Rc<Self>, job: &Name, version: u64, record: Record) {
         let work = self.works.borrow().get(job).cloned();
         if let Some(work) = work {
@@ -204,7 +207,7 @@
                 self.drop_work(&work, "ended");
             }
         }
-        self.ledger.borrow_mut().apply(job, version, record);
+        self.registry.borrow_mut().apply(job, version, record);
     }
 
     pub(super) fn is_mine(&self, record: &Record) -> bool {
@@ -222,7 +225,7 @@
     pub(super) fn start(self: &Rc<Self>, job: &Name, items: Vec<Item>, entry: Entry) -> Rc<Work> {
         let now = self.now();
         let age = self
-            .ledger
+            .registry
             .borrow()
             .store_now(now)
             .map_or(0, |store| store.saturating_sub(entry.record.accepted));
@@ -230,7 +233,7 @@
         let terms = self
             .route(&entry.record)
             .and_then(|route| terms(&route))
-            .unwrap_or(UNKNOWN_TERMS);
+            .unwrap_or(DEFAULT_TERMS);
         let due = accepted + terms.due;
         let expires = accepted + terms.lifetime;
         let work = Work::new(job.clone(), items, entry, due, expires);
@@ -251,53 +254,52 @@
         config.route(&record.host, &record.prefix).cloned()
     }
 
-    /// Whose items run here, and how many of each organisation's.
+    /// Number of running items by organisation.
     fn busy_by_organisation(&self) -> HashMap<u64, usize> {
         let mut busy = HashMap::new();
         for work in self.works.borrow().values() {
-            *busy.entry(work.organisation()).or_default() += work.busy();
+            *busy.entry(work.organisation_hash()).or_default() += work.busy();
         }
         busy
     }
 
-    /// Starts the most urgent items, as many as may wait for a place; those of an
-    /// organisation that has an equal part of what runs here come after others', as
-    /// the pool has it.
+    /// Starts the most urgent items, until enough of them wait for a slot. Items of organisations
+    /// that already have more than an equal share of the running items come last, as in the pool.
     pub(super) fn schedule(self: &Rc<Self>) {
         if !matches!(**self.setup.phase.read(), Phase::Serving) {
             return;
         }
-        while self.asking.get() < ASKING {
+        while self.pending.get() < MAX_PENDING {
             let now = self.now();
             let busy = self.busy_by_organisation();
             let part = busy.values().sum::<usize>() / busy.len().max(1);
             let has_part = |work: &Work| {
-                busy.get(&work.organisation())
+                busy.get(&work.organisation_hash())
                     .is_some_and(|has| *has > part)
             };
             let works = self.works.borrow();
             let next = works
                 .values()
-                .filter_map(|work| Some((work.next(now, &self.pace)?, work)))
+                .filter_map(|work| Some((work.next(now, &self.estimator)?, work)))
                 .min_by_key(|((urgency, _), work)| (has_part(work), *urgency))
                 .map(|((_, item), work)| (Rc::clone(work), item));
             drop(works);
             let Some((work, item)) = next else {
                 return;
             };
-            self.asking.set(self.asking.get() + 1);
+            self.pending.set(self.pending.get() + 1);
             let run = run::run(
                 Rc::clone(self),
                 Rc::clone(&work),
                 item,
-                Asking(Rc::clone(self)),
+                Pending(Rc::clone(self)),
             );
             let guard = Guard(actix_rt::spawn(run));
             work.set(item, Slot::Busy { guard });
         }
     }
 
-    /// Gives up what was not done in its lifetime, or has no route any more.
+    /// Gives up items that are past the job's lifetime, or whose route no longer exists.
     fn expire(self: &Rc<Self>) {
         let now = self.now();
         let works: Vec<_> = self.works.borrow().values().cloned().collect();
@@ -306,10 +308,10 @@
                 let entry = work.entry.borrow();
                 self.route(&entry.record).is_some()
             };
-            let mut absence = work.unrouted.get();
-            let orphaned = absence.look(now, routed, ROUTE_GRACE);
-            work.unrouted.set(absence);
-            if now < work.expires && !orphaned {
+            let mut absence = work.route_absence.get();
+            let unrouted = absence.update(now, routed, ROUTE_GRACE_PERIOD);
+            work.route_absence.set(absence);
+            if now < work.expires && !unrouted {
                 continue;
             }
             while let Some(item) = work.next_ready(now) {
@@ -318,7 +320,7 @@
                     event::ITEM_FAILED,
                     work.id,
                     work.items[item].id,
-                    if orphaned { "no_route" } else { "expired" },
+                    if unrouted { "no_route" } else { "expired" },
                 );
                 work.finish(item, super::item::State::Failed);
             }
@@ -327,8 +329,8 @@
     }
 }
 
-/// For a route that is not known yet: nothing is given up.
-const UNKNOWN_TERMS: Terms = Terms {
+/// Used while the route is unknown: generous, so that no item is given up.
+const DEFAULT_TERMS: Terms = Terms {
     due: Duration::from_secs(60),
     lifetime: Duration::from_secs(600),
     waiting_tokens: None,
@@ -341,11 +343,11 @@
     }
 }
 
-/// Counts an item that waits for a place, until it is dropped.
-pub(super) struct Asking(Rc<Jobs>);
+/// Counts an item that waits for a slot, until it is dropped.
+pub(super) struct Pending(Rc<Jobs>);
 
-impl Drop for Asking {
+impl Drop for Pending {
     fn drop(&mut self) {
-        self.0.asking.set(self.0.asking.get().saturating_sub(1));
+        self.0.pending.set(self.0.pending.get().saturating_sub(1));
     }
 }
--- a/src/batch/work.rs
+++ b/src/batch/work.rs
@@ -1,4 +1,4 @@
-//! A job that this node runs.
+//! State of a job that this node runs.
 
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
@@ -8,71 +8,70 @@
 
 use super::absence::Absence;
 use super::item::{Item, Outcome, Partial, State};
-use super::ledger::Entry;
 use super::record::{Failure, Record};
+use super::registry::Entry;
 use crate::clock::Time;
 use crate::edge::body::Guard;
 use crate::name::Name;
 use crate::quarantine::Fingerprint;
 
-/// How long items take, learned from those that ran without a stop.
+/// Moving average of item durations, from runs that were not interrupted.
 #[derive(Debug)]
-pub(super) struct Pace {
-    /// Seconds a token of prompt and longest output.
-    per_token: Cell<f64>,
+pub(super) struct Estimator {
+    /// Seconds per token of prompt and longest output.
+    seconds_per_token: Cell<f64>,
 }
 
-/// Seconds a token before any item has run: 1,800 tokens took some 5 s.
-const FIRST_PER_TOKEN: f64 = 0.002_7;
-/// Weight of the newest item in the mean.
-const PACE_WEIGHT: f64 = 0.1;
-/// An item that is nearly done still needs a place and its last events.
-const LEAST_LEFT: Duration = Duration::from_millis(300);
+/// Estimate before the first item has run: 1,800 tokens took some 5 s.
+const INITIAL_SECONDS_PER_TOKEN: f64 = 0.002_7;
+/// Weight of the newest item in the average.
+const MEAN_WEIGHT: f64 = 0.1;
+/// An item that is nearly complete still needs a slot and its last events.
+const MIN_REMAINING: Duration = Duration::from_millis(300);
 
-impl Default for Pace {
+impl Default for Estimator {
     fn default() -> Self {
         Self {
-            per_token: Cell::new(FIRST_PER_TOKEN),
+            seconds_per_token: Cell::new(INITIAL_SECONDS_PER_TOKEN),
         }
     }
 }
 
-impl Pace {
-    /// An item of `tokens` ran for `took` from its first event to its last.
-    pub(super) fn learn(&self, tokens: u32, took: Duration) {
+impl Estimator {
+    /// Records that an item of `tokens` ran for `took`, from its first event to its last.
+    pub(super) fn record(&self, tokens: u32, took: Duration) {
         let new = took.as_secs_f64() / f64::from(tokens.max(1));
-        let mean = self.per_token.get();
-        self.per_token.set(mean + PACE_WEIGHT * (new - mean));
+        let mean = self.seconds_per_token.get();
+        self.seconds_per_token
+            .set(mean + MEAN_WEIGHT * (new - mean));
     }
 
-    /// How long an item still needs that ran for `ran`.
-    fn left(&self, tokens: u32, ran: Duration) -> Duration {
-        let whole = Duration::from_secs_f64(self.per_token.get() * f64::from(tokens));
-        whole.saturating_sub(ran).max(LEAST_LEFT)
+    /// Estimated time that an item which has run for `ran` still needs.
+    fn remaining(&self, tokens: u32, ran: Duration) -> Duration {
+        let whole = Duration::from_secs_f64(self.seconds_per_token.get() * f64::from(tokens));
+        whole.saturating_sub(ran).max(MIN_REMAINING)
     }
 }
 
-/// Where an item stands.
+/// State of an item.
 #[derive(Debug)]
 pub(super) enum Slot {
-    /// It may be run from this time on.
+    /// May be run from this time on.
     Ready(Time),
-    /// It asks for a place, or runs; the task ends with the guard.
+    /// Waits for a slot or runs; dropping the guard ends the task.
     Busy {
         #[expect(dead_code, reason = "dropping it is its use")]
         guard: Guard,
     },
-    /// It has an outcome that is not stored yet.
-    Fresh,
-    /// Its last run failed, and the store does not know of it yet. It is not run
-    /// again before: if the owner were lost meanwhile, the next one would start
-    /// to count anew.
-    Failing,
-    /// Its outcome is stored.
+    /// Has an outcome that is not stored yet.
+    Unstored,
+    /// Its last run failed, and the failure is not stored yet. It must not run again before that:
+    /// if the owner were lost, the next one would not count this failure.
+    FailureUnstored,
     Done,
 }
 
-/// A job that this node runs, in memory.
+/// A job that this node runs.
 #[derive(Debug)]
 pub(super) struct Work {
     pub(super) id: Name,
@@ -81,24 +80,24 @@
     pub(super) entry: RefCell<Entry>,
     pub(super) slots: RefCell<Vec<Slot>>,
     pub(super) partials: RefCell<Vec<Partial>>,
-    /// How long items have run so far, in runs that are gone on with.
-    pub(super) ran: RefCell<Vec<Duration>>,
-    /// Runs so far that an endpoint ended with an error of its own, by item;
-    /// those of earlier owners among them.
+    /// Run time of each item so far, over runs that a later run resumes.
+    pub(super) run_time: RefCell<Vec<Duration>>,
+    /// Runs of each item that an endpoint ended with an error of its own, including those under
+    /// earlier owners.
     pub(super) failures: RefCell<Vec<u32>>,
-    /// The endpoints that gave them, by item.
+    /// The endpoints that returned these errors, by item.
     pub(super) failed_at: RefCell<Vec<Vec<Name>>>,
-    /// Outcomes that are not stored yet.
-    pub(super) fresh: RefCell<Vec<(usize, Outcome)>>,
+    /// Outcomes that are not stored yet, by item.
+    pub(super) unstored: RefCell<Vec<(usize, Outcome)>>,
     pub(super) committing: Cell<bool>,
     /// When all results are due.
     pub(super) due: Time,
-    /// When what is not done is given up.
+    /// When unfinished items are given up.
     pub(super) expires: Time,
-    /// It was ended, or another node has it.
+    /// True if the job was ended or another node owns it.
     pub(super) stopped: Cell<bool>,
-    /// Since when its route is not known.
-    pub(super) unrouted: Cell<Absence>,
+    /// How long its route has been unknown.
+    pub(super) route_absence: Cell<Absence>,
 }
 
 impl Work {
@@ -118,19 +117,19 @@
             entry: RefCell::new(entry),
             slots: RefCell::new(slots),
             partials: RefCell::new(vec![Partial::default(); count]),
-            ran: RefCell::new(vec![Duration::ZERO; count]),
+            run_time: RefCell::new(vec![Duration::ZERO; count]),
             failures,
             failed_at: RefCell::new(vec![Vec::new(); count]),
-            fresh: RefCell::default(),
+            unstored: RefCell::default(),
             committing: Cell::new(false),
             due,
             expires,
             stopped: Cell::new(false),
-            unrouted: Cell::default(),
+            route_absence: Cell::default(),
         }
     }
 
-    /// The first item that may be run now.
+    /// The first item that may run now.
     pub(super) fn next_ready(&self, now: Time) -> Option<usize> {
         if self.stopped.get() {
             return None;
@@ -141,12 +140,11 @@
             .position(|slot| matches!(slot, Slot::Ready(from) if *from <= now))
     }
 
-    /// The item that should be run next, and how urgent it is relative to
-    /// other jobs': what is due first goes first. Many jobs at once are more
-    /// than can be done in time; what can't be on time any more gives way to
-    /// what can, or every item would end just after its due time. Of one job's
-    /// items those that are further along go first.
-    pub(super) fn next(&self, now: Time, pace: &Pace) -> Option<(Time, usize)> {
+    /// Returns the item to run next, and its urgency relative to other jobs' items: the earliest
+    /// due time first. Under overload, items that can no longer finish in time give way to those
+    /// that can; otherwise every item would finish just after its due time. Within a job, items
+    /// that have run longest go first.
+    pub(super) fn next(&self, now: Time, estimator: &Estimator) -> Option<(Time, usize)> {
         if self.stopped.get() {
             return None;
         }
@@ -155,15 +153,15 @@
             .iter()
             .enumerate()
             .filter(|(_, slot)| matches!(slot, Slot::Ready(from) if *from <= now));
-        let ran = self.ran.borrow();
+        let ran = self.run_time.borrow();
         ready
-            .map(|(item, _)| (self.urgency(now, item, pace), item))
+            .map(|(item, _)| (self.urgency(now, item, estimator), item))
             .min_by_key(|(urgency, item)| (*urgency, Reverse(ran[*item])))
     }
 
-    /// When an item is due, or when it is given up if it can't be on time.
-    pub(super) fn urgency(&self, now: Time, item: usize, pace: &Pace) -> Time {
-        let left = pace.left(self.items[item].tokens, self.ran.borrow()[item]);
+    /// The due time of an item, or the job's expiry if the item can no longer finish in time.
+    pub(super) fn urgency(&self, now: Time, item: usize, estimator: &Estimator) -> Time {
+        let left = estimator.remaining(self.items[item].tokens, self.run_time.borrow()[item]);
         if now + left > self.due {
             self.expires
         } else {
@@ -171,35 +169,35 @@
         }
     }
 
-    /// Stands for the organisation whose job it is, 0 for none.
-    pub(super) fn organisation(&self) -> u64 {
+    /// Hash of the organisation that submitted the job, 0 for none.
+    pub(super) fn organisation_hash(&self) -> u64 {
         let entry = self.entry.borrow();
         let name = entry.record.organisation.as_ref();
         name.map_or(0, |name| xxh3_64(name.as_bytes()))
     }
 
-    /// Which request an item is, whatever its id.
-    pub(super) fn print(&self, item: usize) -> Fingerprint {
+    /// Fingerprint of an item's request, independent of its id.
+    pub(super) fn fingerprint(&self, item: usize) -> Fingerprint {
         let entry = self.entry.borrow();
         let record = &entry.record;
         let Item { path, body, .. } = &self.items[item];
         Fingerprint::of(&record.host, record.organisation.as_deref(), path, body)
     }
 
-    /// Items that ask for a place or run.
+    /// Number of items that wait for a slot or run.
     pub(super) fn busy(&self) -> usize {
         let busy = |slot: &&Slot| matches!(slot, Slot::Busy { .. });
         self.slots.borrow().iter().filter(busy).count()
     }
 
-    /// Ends all its runs; nothing more is started or stored.
+    /// Aborts all runs; nothing more is started or stored.
     pub(super) fn stop(&self) {
         self.stopped.set(true);
-        self.pause();
+        self.abort_runs();
     }
 
-    /// Ends all its runs; what they brought can be gone on with.
-    pub(super) fn pause(&self) {
+    /// Aborts all runs; a later run can resume from their output.
+    pub(super) fn abort_runs(&self) {
         for slot in self.slots.borrow_mut().iter_mut() {
             if matches!(slot, Slot::Busy { .. }) {
                 *slot = Slot::Ready(Time::ZERO);
@@ -213,14 +211,14 @@
         }
     }
 
-    /// True when something is to be stored: an outcome or a failure.
-    pub(super) fn has_news(&self) -> bool {
-        let failing = |slot: &Slot| matches!(slot, Slot::Failing);
-        !self.fresh.borrow().is_empty() || self.slots.borrow().iter().any(failing)
+    /// Returns true if an outcome or a failure is not stored yet.
+    pub(super) fn has_unstored(&self) -> bool {
+        let failing = |slot: &Slot| matches!(slot, Slot::FailureUnstored);
+        !self.unstored.borrow().is_empty() || self.slots.borrow().iter().any(failing)
     }
 
-    /// How often each item without a result failed, of those that did.
-    pub(super) fn failed(&self, done: &[u16]) -> Vec<Failure> {
+    /// Failure counts of the items that failed and have no result.
+    pub(super) fn unfinished_failures(&self, done: &[u16]) -> Vec<Failure> {
         let failures = self.failures.borrow();
         let items = (0_u16..).zip(failures.iter().copied());
         items
@@ -229,18 +227,17 @@
             .collect()
     }
 
-    /// The store knows of the failures in `stored`: these items may run again
-    /// from `from` on.
-    pub(super) fn failures_stored(&self, stored: &Record, from: Time) {
+    /// Marks the failures in `stored` as stored: these items may run again at `from`.
+    pub(super) fn mark_failures_stored(&self, stored: &Record, from: Time) {
         let failures = self.failures.borrow();
         for (item, slot) in self.slots.borrow_mut().iter_mut().enumerate() {
-            if matches!(slot, Slot::Failing) && stored.failed_runs(item) >= failures[item] {
+            if matches!(slot, Slot::FailureUnstored) && stored.failed_runs(item) >= failures[item] {
                 *slot = Slot::Ready(from);
             }
         }
     }
 
-    /// An item has its final outcome.
+    /// Sets the final outcome of an item.
     pub(super) fn finish(&self, item: usize, state: State) {
         let output = match state {
             State::Done => std::mem::take(&mut self.partials.borrow_mut()[item].output),
@@ -252,7 +249,7 @@
             output,
             object: None,
         };
-        self.set(item, Slot::Fresh);
-        self.fresh.borrow_mut().push((item, outcome));
+        self.set(item, Slot::Unstored);
+        self.unstored.borrow_mut().push((item, outcome));
     }
 }
--- a/tests/drill_batch.rs
+++ b/tests/drill_batch.rs
@@ -1,4 +1,4 @@
-//! Batch jobs on real processes, beside those of `job_process`.
+//! Batch jobs on real processes, in addition to `job_process`.
 
 use googletest::prelude::*;
 use serde_json::{Value, json};
@@ -6,10 +6,9 @@
 #[path = "support/env.rs"]
 mod env;
 
-/// A planner cancels a job at one node while others run its items, each of which
-/// takes seconds. Within the moment that the news needs, no node starts another
-/// item. Without the push the others would go on until they look at the job's
-/// row, up to ten seconds later.
+/// A job is cancelled at one node while other nodes run its items, each of which takes seconds. The
+/// cancellation is pushed to all nodes, so none starts another item after a moment. Without the
+/// push they would continue until they check the job's row, up to ten seconds later.
 #[gtest]
 fn cancel_is_pushed() {
     let mut fleet = env::Fleet::new();
@@ -40,6 +39,6 @@
         load["running"] == json!(0) && load["waiting"] == json!(0)
     };
     env::until("nothing runs any more", || (0..3).all(idle));
-    // All places together are 24; ten more seconds would fill each several times.
+    // There are 24 slots in total; ten more seconds would fill each of them several times.
     expect_that!(arrived() - acknowledged, lt(24));
 }
