--- a/src/batch/accept.rs
+++ b/src/batch/accept.rs
@@ -295,8 +295,8 @@
                 .changes(record::TABLE, known, Duration::ZERO)
                 .await
                 .map_err(|lapse| match lapse {
-                    Lapse::Fault(fault) => fault,
-                    Lapse::Gone => Fault::Refused {
+                    FeedError::Fault(fault) => fault,
+                    FeedError::Gone => Fault::Refused {
                         retry_after: STORE_RETRY_AFTER,
                     },
                 })?;
