--- a/src/connect.rs
+++ b/src/connect.rs
@@ -1,9 +1,8 @@
-//! One HTTP/1.1 connection with one owner.
+//! An HTTP/1.1 connection with a single owner.
 //!
-//! The owner sends one request at a time. Dropping the connection closes it at
-//! once, which is how an endpoint is told to stop: endpoints work on while the
-//! connection is open. `awc` hides its connections, so this is `hyper`; see
-//! docs/design/platform.md.
+//! The owner sends one request at a time. Dropping the connection closes it immediately, which
+//! cancels the run: endpoints continue to work while the connection is open. `awc` does not
+//! expose its connections, so this uses `hyper`; see docs/design/platform.md.
 
 use std::fmt;
 use std::io::ErrorKind;
@@ -20,20 +19,20 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Why a request got no head of an answer.
+/// Why a request got no response head.
 #[derive(Debug)]
 pub enum Failure {
     /// No connection was made, so nothing was sent.
     Unsent(String),
-    /// Some of it may have been read by the other side.
+    /// The other side may have read part of the request.
     Broken(String),
 }
 
 impl fmt::Display for Failure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Unsent(why) => write!(f, "no connection was made: {why}"),
-            Self::Broken(why) => write!(f, "the connection broke: {why}"),
+            Self::Unsent(why) => write!(f, "could not connect: {why}"),
+            Self::Broken(why) => write!(f, "connection lost: {why}"),
         }
     }
 }
@@ -53,24 +52,23 @@
     }
 }
 
-/// What became of an attempt to connect.
+/// Result of a connection probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reachability {
-    /// Something accepts connections.
+    /// A process accepts connections.
     Open,
-    /// Nothing does: no process listens there any more.
+    /// The connection was refused: no process listens there any more.
     Refused,
-    /// No answer; the VM may be off, or the path cut.
+    /// No answer; the VM may be off, or the network partitioned.
     Silent,
 }
 
-/// Looks whether anything listens at `address`, without sending a byte.
+/// Probes whether a process listens at `address`, without sending data.
 pub async fn probe(address: SocketAddr, limit: Duration) -> Reachability {
     match timeout(limit, TcpStream::connect(address)).await {
         Ok(Ok(_)) => Reachability::Open,
         Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => Reachability::Refused,
-        // The error of an unreachable network, or of no descriptors left, tells nothing
-        // of the other side.
+        // An unreachable network or a lack of descriptors is no evidence about the other side.
         Ok(Err(_)) | Err(_) => Reachability::Silent,
     }
 }
@@ -78,32 +76,32 @@
 /// Opens a connection.
 ///
 /// # Errors
-/// [`Failure::Unsent`], also after `limit`: a VM that is off does not answer.
+/// [`Failure::Unsent`], also after `limit`, because a VM that is off does not answer.
 pub async fn open(address: SocketAddr, limit: Duration) -> Result<Conn, Failure> {
     let unsent = |why: &dyn fmt::Display| Failure::Unsent(why.to_string());
     let stream = timeout(limit, TcpStream::connect(address))
         .await
-        .map_err(|_| unsent(&"it took too long"))?
+        .map_err(|_| unsent(&"connecting timed out"))?
         .map_err(|error| unsent(&error))?;
-    // Requests are written whole; waiting to fill a packet only delays them.
+    // Requests are written in one piece; Nagle's algorithm would only delay them.
     stream.set_nodelay(true).map_err(|error| unsent(&error))?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream))
         .await
         .map_err(|error| unsent(&error))?;
     let driver = actix_rt::spawn(async move {
         if let Err(error) = connection.await {
-            log::debug!("a connection to {address} ended: {error}");
+            log::debug!("connection to {address} failed: {error}");
         }
     });
     Ok(Conn { sender, driver })
 }
 
 impl Conn {
-    /// Sends a request and waits for the head of its answer. Drop the
-    /// connection after an error.
+    /// Sends a request and waits for the response head. The connection must be dropped after an
+    /// error.
     ///
     /// # Errors
-    /// [`Failure`]; `Unsent` only where the request was surely not written.
+    /// [`Failure`]; `Unsent` only if the request was certainly not written.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -126,7 +124,7 @@
         }
     }
 
-    /// False once the other side has closed it.
+    /// Returns false once the other side has closed the connection.
     pub fn is_open(&self) -> bool {
         !self.sender.is_closed()
     }
--- a/src/edge.rs
+++ b/src/edge.rs
@@ -93,7 +93,6 @@
 ///
 ///
 /// # Errors
-///
 /// Returns an error if the settings are invalid or a socket can't be bound.
 pub fn run(path: &Path, metrics_port: Option<u16>) -> Result<()> {
     let site = settings::read(path)?;
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -1,9 +1,8 @@
-//! The client's side of endpoints: model engines and plain services.
+//! Clients of endpoints: model engines and plain services.
 //!
-//! A run tells the dispatcher how far it came and what can be said of it
-//! afterwards. Only a connection that could not be made proves that nothing
-//! ran; everything later is in doubt, because an endpoint may have acted on a
-//! request whose answer never came. See docs/design/outcomes.md.
+//! A run reports its progress to the dispatcher and how certain its failure is. Only a failure
+//! to connect proves that nothing ran; any later failure is ambiguous, because an endpoint may
+//! have processed a request whose answer was lost. See docs/design/outcomes.md.
 
 use std::fmt;
 use std::time::Duration;
@@ -18,38 +17,37 @@
 pub mod completion;
 pub mod plain;
 
-/// An endpoint that sends nothing for this long has stalled, even if it still
-/// answers health checks; its stream is given up so that it can be resumed
-/// elsewhere.
+/// An endpoint that sends nothing for this long has stalled, even if it still answers health
+/// checks. Its stream is closed so that it can be resumed elsewhere.
 pub const STALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// When to come back after an endpoint failed.
+/// Retry delay after an endpoint failed.
 const RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Where a run goes.
+/// The endpoint to run a request at.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
     /// The endpoint's name.
     pub name: Name,
-    /// Where it listens, as ip:port.
+    /// Its listening address, as ip:port.
     pub address: Name,
-    /// The model to ask for; empty for a plain service.
+    /// The model to request; empty for a plain service.
     pub model: Name,
 }
 
-/// Why a run did not come to its end.
+/// Why a run failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// No connection could be made, so no byte has reached the endpoint.
+    /// No connection could be made, so no byte reached the endpoint.
     Unreachable(String),
     /// It failed after bytes may have reached the endpoint.
     Broken(String),
-    /// The endpoint says that this request can never be done.
+    /// The endpoint reports that the request can never succeed.
     Rejected(String),
 }
 
 impl Failure {
-    /// Sorts an error of the HTTP client by whether bytes may have been sent.
-    pub fn of_send(error: &SendRequestError) -> Self {
+    /// Classifies an error of the HTTP client by whether bytes may have been sent.
+    pub fn from_send(error: &SendRequestError) -> Self {
         if http::was_unsent(error) {
             Self::Unreachable(error.to_string())
         } else {
@@ -57,23 +55,23 @@
         }
     }
 
-    /// What may be told of the request.
+    /// Converts the failure to the outcome of the request.
     pub fn outcome(self) -> Outcome<Answer> {
         match self {
             Self::Unreachable(what) => {
                 Outcome::NotRun(Refusal::new(Reason::NoEndpoint).after(RETRY_AFTER).because(
-                    format!("the endpoint can't be reached ({what}); come back later"),
+                    format!("the endpoint can't be reached ({what}); retry later"),
                 ))
             }
             Self::Broken(what) => Outcome::MayHaveRun(
                 Refusal::new(Reason::EndpointFailed)
                     .after(RETRY_AFTER)
                     .because(format!(
-                        "the endpoint broke off ({what}); send it again if it may be repeated"
+                        "the endpoint failed during the run ({what}); retry if the request may be repeated"
                     )),
             ),
             Self::Rejected(what) => Outcome::MayHaveRun(Refusal::new(Reason::Invalid).because(
-                format!("the endpoint rejects it: {what}; correct the request"),
+                format!("the endpoint rejected the request: {what}; correct it"),
             )),
         }
     }
@@ -82,7 +80,7 @@
 impl fmt::Display for Failure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Unreachable(what) => write!(f, "unreached: {what}"),
+            Self::Unreachable(what) => write!(f, "unreachable: {what}"),
             Self::Broken(what) => write!(f, "broken: {what}"),
             Self::Rejected(what) => write!(f, "rejected: {what}"),
         }
--- a/src/endpoint/completion.rs
+++ b/src/endpoint/completion.rs
@@ -1,7 +1,7 @@
 //! The streaming completion protocol of model engines.
 //!
-//! docs/design/engine.md describes it: one POST, answered by an event stream
-//! whose events carry the offset of their tokens.
+//! docs/design/engine.md specifies it: one POST, answered by an event stream whose events carry
+//! the offset of their tokens.
 
 use std::time::Duration;
 
@@ -13,27 +13,27 @@
 use super::{Failure, STALL_TIMEOUT, Target};
 use crate::request::Piece;
 
-/// The end of an event stream.
+/// Marks the end of an event stream.
 const DONE: &str = "[DONE]";
 /// Largest error body that is read.
-const ERROR_BODY: usize = 4 * 1024;
+const MAX_ERROR_BYTES: usize = 4 * 1024;
 
-/// What an engine is asked.
+/// A completion request.
 #[derive(Clone, Debug, Serialize)]
 pub struct Prompt<'a> {
     /// The model.
     pub model: &'a str,
     /// The text to complete.
     pub prompt: &'a str,
-    /// Most tokens of the whole answer.
+    /// Maximum number of tokens of the whole answer.
     pub max_tokens: u32,
     /// Always true: answers are streamed.
     pub stream: bool,
-    /// The caller's identity of the request, for the engine's log.
+    /// The caller's idempotency key, for the engine's log.
     pub key: &'a str,
-    /// Tokens that the caller has already.
+    /// Number of tokens that the caller already has.
     pub resume_from: u32,
-    /// Their text.
+    /// The text of those tokens.
     pub resume_text: &'a str,
 }
 
@@ -50,14 +50,13 @@
     finish_reason: Option<String>,
 }
 
-/// Runs a prompt and hands each piece to `on_piece`.
+/// Runs a prompt and passes each piece to `on_piece`.
 ///
-/// Dropping the future closes the connection, which cancels the run at the
-/// engine. `first_wait` bounds the time to the first piece, which may wait
-/// behind others at the engine.
+/// Dropping the future closes the connection, which cancels the run at the engine. `first_wait`
+/// limits the time to the first piece, which may be queued behind other requests at the engine.
 ///
 /// # Errors
-/// [`Failure`], which tells whether anything may have run.
+/// [`Failure`], which distinguishes whether anything may have run.
 pub async fn run<F, A>(
     client: &awc::Client,
     target: &Target,
@@ -75,15 +74,19 @@
         .timeout(first_wait)
         .send_json(prompt)
         .await
-        .map_err(|error| Failure::of_send(&error))?;
+        .map_err(|error| Failure::from_send(&error))?;
     if response.status() != StatusCode::OK {
-        let body = response.body().limit(ERROR_BODY).await.unwrap_or_default();
+        let body = response
+            .body()
+            .limit(MAX_ERROR_BYTES)
+            .await
+            .unwrap_or_default();
         let text = format!(
             "{} {}",
             response.status(),
             String::from_utf8_lossy(&body).trim()
         );
-        return Err(if is_final(response.status()) {
+        return Err(if is_permanent(response.status()) {
             Failure::Rejected(text)
         } else {
             Failure::Broken(text)
@@ -95,22 +98,24 @@
     loop {
         let next = tokio::time::timeout(wait, events.next()).await;
         let event = match next {
-            Err(_) => return Err(Failure::Broken("it stalled".into())),
+            Err(_) => return Err(Failure::Broken("the stream stalled".into())),
             Ok(None) => return Err(Failure::Broken("the stream ended early".into())),
             Ok(Some(Err(error))) => return Err(Failure::Broken(error.to_string())),
             Ok(Some(Ok(event))) => event,
         };
         wait = STALL_TIMEOUT;
         if event.data == DONE {
-            // An engine that dies can close a stream in good order; only its
-            // own finish reason makes the answer whole.
+            // A crashing engine can close a stream cleanly; only the finish reason proves that
+            // the answer is complete.
             if finished {
                 return Ok(());
             }
-            return Err(Failure::Broken("no finish reason came".into()));
+            return Err(Failure::Broken(
+                "the stream ended without a finish reason".into(),
+            ));
         }
         let event: Event = serde_json::from_str(&event.data)
-            .map_err(|error| Failure::Broken(format!("an event can't be read: {error}")))?;
+            .map_err(|error| Failure::Broken(format!("invalid event: {error}")))?;
         let [choice] = event.choices;
         match choice.finish_reason.as_deref() {
             Some("error") => return Err(Failure::Rejected(choice.text)),
@@ -128,8 +133,8 @@
     }
 }
 
-/// True for answers that another engine would give as well.
-fn is_final(status: StatusCode) -> bool {
+/// Returns true for a status that any other engine would return as well.
+fn is_permanent(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::BAD_REQUEST | StatusCode::PAYLOAD_TOO_LARGE | StatusCode::UNPROCESSABLE_ENTITY
--- a/src/endpoint/plain.rs
+++ b/src/endpoint/plain.rs
@@ -1,4 +1,4 @@
-//! Plain services: one HTTP call, one body back.
+//! Plain services: one HTTP request, one response body.
 
 use std::time::Duration;
 
@@ -7,17 +7,17 @@
 use super::{Failure, Target};
 use crate::request::Answer;
 
-/// Largest body that a plain service may answer.
-const BODY: usize = 1024 * 1024;
-/// The header that carries the caller's identity of the request.
+/// Largest response body of a plain service.
+const MAX_BODY_BYTES: usize = 1024 * 1024;
+/// The header that carries the caller's idempotency key.
 pub const KEY_HEADER: &str = "Idempotency-Key";
 
 /// Makes one call.
 ///
-/// Every HTTP status is an answer: the service ran and said so.
+/// Every HTTP status counts as an answer, because the service ran and returned it.
 ///
 /// # Errors
-/// [`Failure`], which tells whether anything may have run.
+/// [`Failure`], which distinguishes whether anything may have run.
 pub async fn call(
     client: &awc::Client,
     target: &Target,
@@ -34,11 +34,11 @@
     let mut response = request
         .send_body(body)
         .await
-        .map_err(|error| Failure::of_send(&error))?;
+        .map_err(|error| Failure::from_send(&error))?;
     let status = response.status().as_u16();
-    let body = tokio::time::timeout(wait, response.body().limit(BODY))
+    let body = tokio::time::timeout(wait, response.body().limit(MAX_BODY_BYTES))
         .await
-        .map_err(|_| Failure::Broken("its body did not come in time".into()))?
+        .map_err(|_| Failure::Broken("the response body did not arrive in time".into()))?
         .map_err(|error| Failure::Broken(error.to_string()))?;
     Ok(Answer {
         status,
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -1,9 +1,9 @@
-//! The way of a question from its caller to the dispatcher of an endpoint,
-//! and of the answer back.
+//! Routes a question from its caller to the dispatcher of an endpoint, and the answer back.
 //!
-//! One gateway lives on each traffic thread. It decides nothing itself:
-//! [`limit`] admits, [`route`] chooses, [`retry`] tells whether to try again
-//! and puts the pieces together. docs/ARCHITECTURE.md shows the whole way.
+//! Each traffic thread has one gateway. The gateway performs the I/O and leaves the decisions
+//! to [`limit`], which admits, [`route`], which selects an endpoint, and [`retry`], which
+//! decides on retries and assembles the answer. docs/ARCHITECTURE.md describes the complete
+//! path.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -41,17 +41,17 @@
 mod attempt;
 mod guard;
 
-/// Questions that one traffic thread carries at a time. Above it memory would
-/// grow with the load; the letter's peak is some 13 a second on a node.
-const CAPACITY: u32 = 4_096;
-/// When to come back to a node that is not ready.
-const NOT_READY_RETRY: Duration = Duration::from_secs(1);
-/// How often a verdict that is due is looked for.
-const HELD_POLL: Duration = Duration::from_millis(50);
-/// How often limits are reported and changes are looked for.
-const LOOK_EVERY: Duration = Duration::from_millis(250);
+/// Questions in flight per traffic thread. Without the limit, memory use would grow with the
+/// load; the required peak is about 13 questions per second per node.
+const MAX_IN_FLIGHT: u32 = 4_096;
+/// Retry delay sent by a node that is not ready.
+const NOT_READY_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Interval at which a pending quarantine verdict is polled.
+const VERDICT_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval at which demand is reported and configuration changes are applied.
+const UPDATE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What a gateway shares with the rest of its node.
+/// State that a gateway shares with the rest of its node.
 #[derive(Clone)]
 pub struct Shared {
     /// This node's name.
@@ -60,51 +60,51 @@
     pub zone: Name,
     /// The monotonic clock.
     pub clock: Clock,
-    /// The configuration that may be acted by.
+    /// The configuration in force, and until when it may be used.
     pub force: Arc<snapshot::Cell<InForce>>,
     /// The members.
     pub view: Arc<snapshot::Cell<View>>,
     /// The dispatchers of this node.
     pub dispatch: Handle,
-    /// Counters.
+    /// Metrics.
     pub metrics: Arc<Metrics>,
     /// Callers' questions in flight on this node.
     pub questions: Work,
-    /// Requests that this node's dispatchers hold.
+    /// Requests held by this node's dispatchers.
     pub dispatched: Work,
-    /// Where this node is in its life.
+    /// The node's lifecycle phase.
     pub phase: Arc<snapshot::Cell<Phase>>,
-    /// Bounds on what callers may send.
+    /// Limits on the size of requests.
     pub limits: Limits,
-    /// How long this node waits.
+    /// Timeouts of requests and connections.
     pub timeouts: Timeouts,
-    /// Requests that crash endpoints.
+    /// Quarantine of requests that crash endpoints.
     pub quarantine: quarantine::Handle,
 }
 
 impl Shared {
-    /// The configuration, or a refusal while this node can't know whether it
-    /// is still in force.
+    /// Returns the configuration, or a refusal while this node can't be certain that it is
+    /// still in force.
     ///
     /// # Errors
-    /// [`Reason::NotReady`] with when to come back.
+    /// [`Reason::NotReady`] with a retry delay.
     pub fn config(&self) -> Result<Arc<Document>, Refusal> {
         let force = self.force.read();
         if force.is_valid(self.clock.now()) {
             return Ok(Arc::clone(&force.document));
         }
-        Err(Refusal::new(Reason::NotReady).after(NOT_READY_RETRY))
+        Err(Refusal::new(Reason::NotReady).after(NOT_READY_RETRY_DELAY))
     }
 }
 
-/// What an organisation asks of one traffic thread.
+/// The demand of one organisation on one traffic thread.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DemandReport {
-    /// The traffic thread.
+    /// Index of the traffic thread.
     pub thread: usize,
     /// The organisation.
     pub organisation: Name,
-    /// What it asks.
+    /// The organisation's demand.
     pub demand: Demand,
 }
 
@@ -117,18 +117,18 @@
     limiter: RefCell<Limiter>,
     gate: RefCell<Gate>,
     budget: RefCell<Budget>,
-    last_flight: Cell<u64>,
+    last_attempt: Cell<u64>,
     version: Cell<u64>,
     marks: Marks<Client>,
     cut: watch::Receiver<bool>,
-    /// Nodes whose links failed, and until when they are passed over.
+    /// Nodes whose links failed, and until when they are avoided.
     avoided: RefCell<HashMap<Name, Time>>,
 }
 
 impl Gateway {
-    /// A gateway that has heard of no endpoint's load yet.
+    /// Creates a gateway that has no load reports yet.
     ///
-    /// `cut` turns true when everything in flight must get its final answer.
+    /// `cut` becomes true when every request in flight must be answered immediately.
     pub fn new(
         shared: Shared,
         thread: usize,
@@ -143,21 +143,21 @@
             links: Pool::new(shared.node.clone()),
             router: RefCell::new(Router::new(shared.zone.clone(), rand::random())),
             limiter: RefCell::new(Limiter::new(1)),
-            gate: RefCell::new(Gate::new(CAPACITY)),
+            gate: RefCell::new(Gate::new(MAX_IN_FLIGHT)),
             budget: RefCell::default(),
             avoided: RefCell::default(),
-            last_flight: Cell::new(0),
+            last_attempt: Cell::new(0),
             version: Cell::new(0),
             shared,
         })
     }
 
-    /// Follows members and configuration, and sends what organisations ask of
-    /// this thread to the control thread, for as long as the thread lives.
+    /// Applies changes of members and configuration, and reports the organisations' demand to
+    /// the control thread, for the lifetime of the thread.
     pub async fn follow(self: Rc<Self>, threads: usize, demands: mpsc::Sender<DemandReport>) {
         loop {
             if let Ok(config) = self.shared.config() {
-                self.take_config(&config);
+                self.apply_config(&config);
             }
             self.send_demands(threads, &demands);
             for (endpoint, cause) in self.router.borrow_mut().ejections() {
@@ -166,11 +166,11 @@
                     event::ENDPOINT_EJECTED
                 );
             }
-            actix_rt::time::sleep(LOOK_EVERY).await;
+            actix_rt::time::sleep(UPDATE_INTERVAL).await;
         }
     }
 
-    /// Tells the control thread what organisations ask of this thread.
+    /// Reports the organisations' demand on this thread to the control thread.
     fn send_demands(&self, threads: usize, demands: &mpsc::Sender<DemandReport>) {
         let nodes = self.shared.view.read().usable().count() * threads;
         let now = self.shared.clock.now();
@@ -178,7 +178,7 @@
         limiter.nodes(u32::try_from(nodes).unwrap_or(u32::MAX));
         for (organisation, demand) in limiter.reports(now) {
             let thread = self.thread;
-            // A lost report is made good by the next one.
+            // The next report compensates for a lost one.
             let _ = demands.try_send(DemandReport {
                 thread,
                 organisation,
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Takes the shares that the owners of organisations grant.
+    /// Applies the shares granted by the organisations' owners.
     pub async fn take_grants(self: Rc<Self>, mut grants: mpsc::Receiver<(Name, Grant)>) {
         while let Some((organisation, grant)) = grants.recv().await {
             let now = self.shared.clock.now();
@@ -195,10 +195,10 @@
         }
     }
 
-    /// Asks one question and hands the pieces of its answer to `pieces`.
+    /// Runs one question and sends the pieces of its answer to `pieces`.
     ///
-    /// The whole answer is also in the outcome, so that a caller who wants no
-    /// pieces can drop the other end.
+    /// The outcome also contains the whole answer, so a caller that does not stream can drop
+    /// the receiver.
     pub async fn ask(&self, request: Request, pieces: mpsc::Sender<Piece>) -> Outcome<Answer> {
         let class = request.class;
         let mut cut = self.cut.clone();
@@ -207,7 +207,7 @@
             outcome = self.admit(request, pieces) => outcome,
             // Dropping the request cancels it at the endpoint.
             _ = cut.wait_for(|cut| *cut) => Outcome::MayHaveRun(
-                Refusal::new(Reason::NotReady).because("the node stops; use another address"),
+                Refusal::new(Reason::NotReady).because("the node is shutting down; use another address"),
             ),
         };
         if let Outcome::NotRun(refusal) | Outcome::MayHaveRun(refusal) = &outcome {
@@ -222,13 +222,13 @@
             Ok(config) => config,
             Err(refusal) => return Outcome::NotRun(refusal),
         };
-        self.take_config(&config);
+        self.apply_config(&config);
         if let Err(refusal) = complete(&config, &mut request) {
             return Outcome::NotRun(refusal);
         }
         request.time_left = request.time_left.min(self.shared.timeouts.request);
-        let _passage = match guard::Passage::enter(self, &request) {
-            Ok(passage) => passage,
+        let _passage = match guard::Admission::enter(self, &request) {
+            Ok(admission) => admission,
             Err(refusal) => return Outcome::NotRun(refusal),
         };
         if request.once {
@@ -237,8 +237,7 @@
         self.run(config, request, pieces).await
     }
 
-    /// Runs a request that must not be repeated, after its mark is in the
-    /// table.
+    /// Runs a request that must not be repeated, after storing a mark for its key in the table.
     async fn run_once(
         &self,
         config: Arc<Document>,
@@ -251,8 +250,8 @@
         };
         let mark = match self.marks.mark(&key).await {
             Ok(mark) => mark,
-            // This request did not run, but the one that used its key may have:
-            // "not run" would invite the caller to choose a new key.
+            // This request did not run, but the one that used its key may have: a "not run"
+            // answer would invite the caller to choose a new key.
             Err(refusal) if refusal.reason == Reason::AlreadyRun => {
                 return Outcome::MayHaveRun(refusal);
             }
@@ -260,14 +259,14 @@
         };
         let outcome = self.run(config, request, pieces).await;
         if outcome.is_not_run() && self.marks.unmark(&mark).await.is_err() {
-            // The caller is told that it did not run, which is true; with the
-            // same key it will be told that the key is used up.
+            // The caller correctly learns that the request did not run, but a retry with the
+            // same key will be refused because the key is used.
             log::debug!("{} key={}", event::MARK_KEPT, key.key);
         }
         outcome
     }
 
-    /// Tries endpoints until one answers or trying again is of no use.
+    /// Tries endpoints until one answers or no retry is possible.
     async fn run(
         &self,
         config: Arc<Document>,
@@ -277,27 +276,27 @@
         let now = self.shared.clock.now();
         let deadline = now + request.time_left;
         let mut stream = attempt::Stream::new(now, pieces);
-        let mut tried = Tried::default();
+        let mut tried = History::default();
         let mut ran = false;
-        let print = request.fingerprint();
+        let fingerprint = request.fingerprint();
         loop {
-            let left = deadline.since(self.shared.clock.now());
-            if left.is_zero() {
-                return verdict(ran, Refusal::new(Reason::Deadline));
+            let remaining = deadline.since(self.shared.clock.now());
+            if remaining.is_zero() {
+                return conclude(ran, Refusal::new(Reason::Deadline));
             }
-            if self.is_condemned(print).await {
+            if self.is_condemned(fingerprint).await {
                 let refusal = Refusal::new(Reason::Invalid).because(
                     "endpoints that run this request crash; it is not run any more, so don't \
                      send it again",
                 );
-                return verdict(ran, refusal);
+                return conclude(ran, refusal);
             }
-            request.time_left = left;
+            request.time_left = remaining;
             stream.resume(&mut request);
             request.spills = tried.count == 0;
             let Some(endpoint) = self.pick(&request, &tried) else {
-                let refusal = Refusal::new(Reason::NoEndpoint).after(NOT_READY_RETRY);
-                return verdict(ran, refusal);
+                let refusal = Refusal::new(Reason::NoEndpoint).after(NOT_READY_RETRY_DELAY);
+                return conclude(ran, refusal);
             };
             let began = self.shared.clock.now();
             let outcome = self
@@ -306,37 +305,36 @@
             let failure = match outcome {
                 Outcome::Done(answer) => {
                     self.budget.borrow_mut().deposit();
-                    self.tell_sound(print);
+                    self.report_sound(fingerprint);
                     stream.finish(&answer).await;
                     return Outcome::Done(answer);
                 }
                 Outcome::NotRun(refusal) => retry::Failure::NotRun(refusal),
                 Outcome::MayHaveRun(refusal) => {
                     ran = true;
-                    self.blame(print, &refusal, began).await;
+                    self.report_crash(fingerprint, &refusal, began).await;
                     retry::Failure::MayHaveRun(refusal)
                 }
             };
             tried.add(endpoint, &request, &failure);
             match self.again(&config, &request, &tried, deadline, failure) {
                 Ok(wait) => actix_rt::time::sleep(wait).await,
-                Err(refusal) => return verdict(ran, refusal),
+                Err(refusal) => return conclude(ran, refusal),
             }
         }
     }
 
-    /// True when the request must not run. One that is about to be condemned waits for
-    /// the verdict.
+    /// Returns true if the request must not run. Waits for the verdict if one is pending.
     async fn is_condemned(&self, request: Fingerprint) -> bool {
         let standings = self.shared.quarantine.standings();
         while standings.read().is_held(request) {
-            actix_rt::time::sleep(HELD_POLL).await;
+            actix_rt::time::sleep(VERDICT_POLL_INTERVAL).await;
         }
         standings.read().is_condemned(request)
     }
 
-    /// Takes what the endpoint's dispatcher, which may be another node, found.
-    async fn blame(&self, request: Fingerprint, refusal: &Refusal, began: Time) {
+    /// Records a crash that the endpoint's dispatcher, possibly on another node, reported.
+    async fn report_crash(&self, request: Fingerprint, refusal: &Refusal, began: Time) {
         if let Some(crash) = &refusal.crash {
             let moment = Moment::of(self.shared.clock.now().since(began));
             let crashed = Observation::Crashed(request, crash.clone(), moment);
@@ -344,7 +342,7 @@
         }
     }
 
-    fn tell_sound(&self, request: Fingerprint) {
+    fn report_sound(&self, request: Fingerprint) {
         if self
             .shared
             .quarantine
@@ -357,12 +355,12 @@
         }
     }
 
-    /// When to try again, or the refusal that is final.
+    /// Returns the delay before the retry, or the final refusal.
     fn again(
         &self,
         config: &Document,
         request: &Request,
-        tried: &Tried,
+        tried: &History,
         deadline: Time,
         failure: retry::Failure,
     ) -> Result<Duration, Refusal> {
@@ -375,8 +373,8 @@
             elsewhere: endpoints.any(|endpoint| !tried.failed.contains(&endpoint.name)),
         };
         if tried.crowded.is_some() {
-            // The endpoint was crowded and said so at once; going to another
-            // one costs a message and happens once, so no budget is needed.
+            // The endpoint refused immediately because it was crowded. Trying another one costs
+            // one message and happens once, so it needs no retry budget.
             self.shared.metrics.retry(request.class, refusal.reason);
             return Ok(Duration::ZERO);
         }
@@ -390,8 +388,8 @@
         }
     }
 
-    /// Hands a newer configuration to the decisions.
-    fn take_config(&self, config: &Document) {
+    /// Applies a newer configuration to the router and the limiter.
+    fn apply_config(&self, config: &Document) {
         if config.version == self.version.get() {
             return;
         }
@@ -419,26 +417,26 @@
     }
 }
 
-/// What earlier attempts of a request told.
+/// The results of a request's earlier attempts.
 #[derive(Default)]
-struct Tried {
-    /// Attempts so far.
+struct History {
+    /// Number of attempts.
     count: u32,
     /// Endpoints that failed or were full.
     failed: Vec<Name>,
-    /// An endpoint that was crowded: passed over once, and good enough later,
-    /// when the others have failed.
+    /// An endpoint that was crowded at the last attempt. It is skipped once, and becomes
+    /// eligible again when the others have failed.
     crowded: Option<Name>,
 }
 
-impl Tried {
+impl History {
     fn add(&mut self, endpoint: Name, request: &Request, failure: &retry::Failure) {
         self.count += 1;
         self.crowded = None;
         match refusal_of(failure).reason {
             Reason::Overloaded if request.spills => self.crowded = Some(endpoint),
-            // The way to the endpoint failed, not the endpoint: it is tried
-            // again through another dispatcher.
+            // The path to the endpoint failed, not the endpoint: it is retried through another
+            // dispatcher.
             Reason::LinkFailed | Reason::NotReady => {}
             _ => self.failed.push(endpoint),
         }
@@ -450,14 +448,14 @@
     refusal
 }
 
-/// Fills in the service's own bounds where the caller named none.
+/// Applies the service's default limits where the request has none.
 ///
 /// # Errors
-/// When the service is unknown, or of another kind than the body.
+/// Returns a refusal if the service is unknown, or of another kind than the body.
 pub fn complete(config: &Document, request: &mut Request) -> Result<(), Refusal> {
     let Some(service) = config.services.get(&request.service) else {
         return Err(Refusal::new(Reason::UnknownService).because(format!(
-            "there is no service `{}`; `auburnspoke service list` names them",
+            "there is no service `{}`; list them with `auburnspoke service list`",
             request.service
         )));
     };
@@ -473,14 +471,14 @@
         }
         (Body::Call { .. }, Kind::Plain) => Ok(()),
         (Body::Prompt { .. }, Kind::Plain) => Err(Refusal::new(Reason::Invalid)
-            .because("the service is a plain one; name a path and a body, not a prompt")),
+            .because("the service is a plain service; send a path and a body instead of a prompt")),
         (Body::Call { .. }, Kind::Model) => Err(Refusal::new(Reason::Invalid)
-            .because("the service is a model; name a prompt, not a path")),
+            .because("the service is a model; send a prompt instead of a path")),
     }
 }
 
-/// A refusal after some attempt may have run is never said to be `NotRun`.
-fn verdict(ran: bool, refusal: Refusal) -> Outcome<Answer> {
+/// Never reports `NotRun` if an earlier attempt may have run.
+fn conclude(ran: bool, refusal: Refusal) -> Outcome<Answer> {
     if ran {
         Outcome::MayHaveRun(refusal)
     } else {
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -1,11 +1,11 @@
-//! One attempt of a request at one endpoint, and the answer over all attempts.
+//! One attempt of a request at one endpoint, and the answer across all attempts.
 
 use std::time::Duration;
 
 use tokio::sync::mpsc;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::{Gateway, Shared, Tried, guard};
+use super::{Gateway, History, Shared, guard};
 use crate::clock::Time;
 use crate::config::Document;
 use crate::dispatch::Load;
@@ -17,18 +17,18 @@
 use crate::retry::{Assembly, Push};
 use crate::route::{self, Query, Verdict};
 
-/// Bytes of a prompt that make up one block of an engine's prefix cache: its
-/// 16 tokens of roughly four bytes.
-const BLOCK: usize = 64;
-/// How long a node is passed over after a link to it failed; by then the members
-/// know whether it is gone.
-const AVOID: Duration = Duration::from_secs(5);
-/// Leading blocks that routing looks at; more say nothing new.
-const BLOCKS: usize = 32;
+/// Size of a prompt block, matching one block of an engine's prefix cache: 16 tokens of about
+/// four bytes.
+const BLOCK_BYTES: usize = 64;
+/// How long a node is avoided after a link to it failed; by then membership has detected
+/// whether the node is gone.
+const AVOID_TIME: Duration = Duration::from_secs(5);
+/// Number of leading blocks considered for routing; further blocks do not improve the choice.
+const MAX_BLOCKS: usize = 32;
 
 impl Gateway {
-    /// The endpoint to try next.
-    pub(super) fn pick(&self, request: &Request, tried: &Tried) -> Option<Name> {
+    /// Returns the endpoint to try next.
+    pub(super) fn pick(&self, request: &Request, tried: &History) -> Option<Name> {
         let now = self.shared.clock.now();
         let blocks = blocks(&request.body);
         let pick = |tried: &[Name]| {
@@ -40,14 +40,14 @@
             };
             self.router.borrow_mut().pick(now, &query)
         };
-        let passed_over = tried.failed.iter().chain(&tried.crowded);
-        let passed_over: Vec<Name> = passed_over.cloned().collect();
-        let choice = pick(&passed_over).or_else(|| pick(&tried.failed))?;
+        let skipped = tried.failed.iter().chain(&tried.crowded);
+        let skipped: Vec<Name> = skipped.cloned().collect();
+        let choice = pick(&skipped).or_else(|| pick(&tried.failed))?;
         Some(choice.endpoint)
     }
 
-    /// The node to go through to an endpoint: its dispatcher, unless the link
-    /// to that one has just failed.
+    /// Returns the node through which to reach an endpoint: its dispatcher, or an alternative
+    /// if the link to the dispatcher failed recently.
     fn dispatcher<'a>(&self, view: &'a View, endpoint: &str, zone: &str) -> Option<&'a Member> {
         let now = self.shared.clock.now();
         let mut avoided = self.avoided.borrow_mut();
@@ -69,10 +69,10 @@
         let Some((node, mut events)) = self.submit(config, endpoint, request) else {
             return Outcome::NotRun(Refusal::new(Reason::NoEndpoint));
         };
-        let flight = guard::Flight::start(self, endpoint, &blocks(&request.body));
+        let attempt = guard::Attempt::start(self, endpoint, &blocks(&request.body));
         let (outcome, load) = loop {
-            let left = deadline.since(self.shared.clock.now());
-            match tokio::time::timeout(left, events.recv()).await {
+            let remaining = deadline.since(self.shared.clock.now());
+            match tokio::time::timeout(remaining, events.recv()).await {
                 Err(_) => {
                     let refusal = Refusal::new(Reason::Deadline);
                     break (Outcome::MayHaveRun(refusal), None);
@@ -82,29 +82,29 @@
                     break (Outcome::MayHaveRun(refusal), None);
                 }
                 Ok(Some(Event::Piece(piece, load))) => {
-                    flight.first_token(endpoint, load);
+                    attempt.first_token(endpoint, load);
                     if !stream.take(&self.shared, request.class, piece).await {
                         let refusal = Refusal::new(Reason::EndpointFailed)
-                            .because("the answer's pieces do not fit together");
+                            .because("the pieces of the answer contradict each other");
                         break (Outcome::MayHaveRun(refusal), None);
                     }
                 }
                 Ok(Some(Event::End(outcome, load))) => break (outcome, Some(load)),
             }
         };
-        // A link that broke brings no load with it.
+        // A broken link reports the default load, which carries no information.
         let load = load.filter(|load| *load != Load::default());
-        flight.end(judge(&outcome), load);
+        attempt.end(health_verdict(&outcome), load);
         if let Outcome::NotRun(refusal) | Outcome::MayHaveRun(refusal) = &outcome
             && matches!(refusal.reason, Reason::LinkFailed | Reason::NotReady)
         {
-            let until = self.shared.clock.now() + AVOID;
+            let until = self.shared.clock.now() + AVOID_TIME;
             self.avoided.borrow_mut().insert(node, until);
         }
         outcome
     }
 
-    /// Hands the request to the endpoint's dispatcher, here or on a peer.
+    /// Submits the request to the endpoint's dispatcher, locally or on a peer.
     fn submit(
         &self,
         config: &Document,
@@ -125,26 +125,26 @@
     }
 }
 
-/// What an attempt says of its endpoint's health.
-fn judge(outcome: &Outcome<Answer>) -> Verdict {
+/// Returns the effect of an outcome on the endpoint's health rating.
+fn health_verdict(outcome: &Outcome<Answer>) -> Verdict {
     let (Outcome::NotRun(refusal) | Outcome::MayHaveRun(refusal)) = outcome else {
         return Verdict::Good;
     };
     match refusal.reason {
         Reason::Overloaded | Reason::Limited | Reason::Deadline => Verdict::Full,
         Reason::NoEndpoint | Reason::EndpointFailed => Verdict::Failed,
-        // The dispatcher or the way to it is at fault, not the endpoint.
+        // The dispatcher or the path to it is at fault, not the endpoint.
         _ => Verdict::Withdrawn,
     }
 }
 
-/// Names of a prompt's leading blocks; each covers all text before it too.
+/// Returns hashes of a prompt's leading blocks; each also covers all preceding text.
 fn blocks(body: &Body) -> Vec<u64> {
     let Body::Prompt { prompt, .. } = body else {
         return Vec::new();
     };
     let mut seed = 0;
-    let chunks = prompt.as_bytes().chunks_exact(BLOCK).take(BLOCKS);
+    let chunks = prompt.as_bytes().chunks_exact(BLOCK_BYTES).take(MAX_BLOCKS);
     chunks
         .map(|chunk| {
             seed = xxh3_64_with_seed(chunk, seed);
@@ -153,7 +153,7 @@
         .collect()
 }
 
-/// What a caller has of an answer, over all attempts.
+/// The part of an answer that the caller has received, across all attempts.
 pub(super) struct Stream {
     pieces: mpsc::Sender<Piece>,
     assembly: Assembly,
@@ -169,14 +169,14 @@
         }
     }
 
-    /// Prepares a request to go on from what the caller has.
+    /// Prepares a request to resume after what the caller has received.
     pub(super) fn resume(&mut self, request: &mut Request) {
         self.assembly.restart();
         request.resume_from = self.assembly.tokens();
         request.resume_text = self.assembly.text().into();
     }
 
-    /// Takes a piece; false when it contradicts what the caller has.
+    /// Sends a piece to the caller; returns false if it contradicts what the caller has.
     pub(super) async fn take(&mut self, shared: &Shared, class: Class, piece: Piece) -> bool {
         let first = self.assembly.tokens() == 0;
         let next = match self.assembly.push(piece) {
@@ -193,14 +193,13 @@
             shared.metrics.between_tokens(took);
         }
         for piece in next {
-            // An error means that the caller wants no pieces.
+            // An error means that the caller does not stream.
             let _ = self.pieces.send(piece).await;
         }
         true
     }
 
-    /// Sends what the caller still lacks when the last word has come before
-    /// some piece.
+    /// Sends the rest of the answer if the end arrived before some piece.
     pub(super) async fn finish(&mut self, answer: &Answer) {
         let have = self.assembly.tokens();
         let rest = answer.text.strip_prefix(self.assembly.text());
--- a/src/gateway/guard.rs
+++ b/src/gateway/guard.rs
@@ -1,8 +1,8 @@
-//! Counts that must be given back however a request ends.
+//! Guards that release counters however a request ends.
 //!
-//! A caller that goes away drops the request's future in the middle. Without
-//! these guards its place would stay taken, and a gateway would refuse more and
-//! more until it was restarted.
+//! A caller that disconnects drops the request's future at any await point. Without these
+//! guards its slot would stay taken, and a gateway would refuse more and more requests until it
+//! was restarted.
 
 use super::Gateway;
 use crate::dispatch::Load;
@@ -11,14 +11,14 @@
 use crate::request::Request;
 use crate::route::Verdict;
 
-/// A request's place at the gate and within its organisation's limits.
-pub struct Passage<'a> {
+/// A request's slot at the gate and within its organisation's limits.
+pub struct Admission<'a> {
     gateway: &'a Gateway,
     organisation: Name,
 }
 
-impl<'a> Passage<'a> {
-    /// Takes a place.
+impl<'a> Admission<'a> {
+    /// Acquires a slot.
     ///
     /// # Errors
     /// The refusal of the gate or of the organisation's limits; nothing ran.
@@ -38,7 +38,7 @@
     }
 }
 
-impl Drop for Passage<'_> {
+impl Drop for Admission<'_> {
     fn drop(&mut self) {
         self.gateway.gate.borrow_mut().leave(&self.organisation);
         self.gateway
@@ -48,18 +48,18 @@
     }
 }
 
-/// One attempt, as the router counts it.
-pub struct Flight<'a> {
+/// One attempt in flight, as counted by the router.
+pub struct Attempt<'a> {
     gateway: &'a Gateway,
     id: u64,
     ended: bool,
 }
 
-impl<'a> Flight<'a> {
-    /// The request is about to be sent.
+impl<'a> Attempt<'a> {
+    /// Registers an attempt that is about to be sent.
     pub fn start(gateway: &'a Gateway, endpoint: &str, blocks: &[u64]) -> Self {
-        let id = gateway.last_flight.get() + 1;
-        gateway.last_flight.set(id);
+        let id = gateway.last_attempt.get() + 1;
+        gateway.last_attempt.set(id);
         let now = gateway.shared.clock.now();
         let mut router = gateway.router.borrow_mut();
         router.sent(now, id, endpoint, blocks);
@@ -70,7 +70,7 @@
         }
     }
 
-    /// A token came; with the first one of a run comes the endpoint's load.
+    /// Records a token. The first one of a run carries the endpoint's load.
     pub fn first_token(&self, endpoint: &str, load: Option<Load>) {
         let now = self.gateway.shared.clock.now();
         let mut router = self.gateway.router.borrow_mut();
@@ -80,23 +80,23 @@
         }
     }
 
-    /// The attempt ended.
+    /// Records the end of the attempt.
     pub fn end(mut self, verdict: Verdict, load: Option<Load>) {
         self.ended = true;
-        self.tell(verdict, load);
+        self.record_end(verdict, load);
     }
 
-    fn tell(&self, verdict: Verdict, load: Option<Load>) {
+    fn record_end(&self, verdict: Verdict, load: Option<Load>) {
         let now = self.gateway.shared.clock.now();
         let mut router = self.gateway.router.borrow_mut();
         router.ended(now, self.id, verdict, load);
     }
 }
 
-impl Drop for Flight<'_> {
+impl Drop for Attempt<'_> {
     fn drop(&mut self) {
         if !self.ended {
-            self.tell(Verdict::Withdrawn, None);
+            self.record_end(Verdict::Withdrawn, None);
         }
     }
 }
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,7 +1,7 @@
-//! The HTTP server and client that every part shares.
+//! The HTTP server and client shared by all components.
 //!
-//! A server runs on the thread that calls [`serve`]; several threads serve one
-//! address by cloning the listening socket.
+//! A server runs on the thread that calls [`serve`]; several threads serve one address by
+//! cloning the listening socket.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -20,31 +20,30 @@
 use futures_util::{Stream, StreamExt as _};
 use tokio::sync::watch;
 
-/// A caller that has sent no complete head within this time is cut off, so
-/// that idle connections can't use up the process's descriptors.
+/// A caller that has not sent a complete head within this time is disconnected, so that idle
+/// connections can't exhaust the process's file descriptors.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long an idle connection is kept for the next request.
+/// How long an idle connection is kept alive.
 const KEEP_ALIVE: Duration = Duration::from_secs(75);
-/// How long to pause when a connection can't be accepted, as when the process
-/// is out of descriptors.
+/// Pause after a failed accept, such as when file descriptors run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// How often [`serve`] looks whether the last connection has ended.
+/// Interval at which [`serve`] checks whether the last connection has ended.
 const IDLE_POLL: Duration = Duration::from_millis(20);
 
-/// Why a body was not read.
+/// Why a body could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyError {
-    /// Longer than the bound, which is named in bytes.
+    /// Longer than the limit, in bytes.
     TooLong(usize),
-    /// The sender broke off.
+    /// The body was truncated.
     Broken,
 }
 
 impl fmt::Display for BodyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::TooLong(bound) => write!(f, "the body is longer than {bound} bytes"),
-            Self::Broken => f.write_str("the body broke off"),
+            Self::TooLong(max_bytes) => write!(f, "the body is longer than {max_bytes} bytes"),
+            Self::Broken => f.write_str("the body was truncated"),
         }
     }
 }
@@ -54,7 +53,7 @@
 /// Opens a listening socket for [`serve`].
 ///
 /// # Errors
-/// As the operating system gives them, for instance when the port is taken.
+/// Returns the operating system's error, for example if the port is taken.
 pub fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let listener = TcpListener::bind(address)?;
     listener.set_nonblocking(true)?;
@@ -63,11 +62,11 @@
 
 /// Serves HTTP/1 on `listener` with `handler`.
 ///
-/// When `stop` turns true it accepts no further connection and returns once
+/// When `stop` becomes true, no further connection is accepted, and the function returns once
 /// the open ones have ended.
 ///
 /// # Errors
-/// When the socket can't be registered with this thread's runtime.
+/// Returns an error if the socket can't be registered with this thread's runtime.
 pub async fn serve<H, F, B>(
     listener: TcpListener,
     mut stop: watch::Receiver<bool>,
@@ -96,14 +95,15 @@
         tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => {
-                    // Pieces of an answer are small; waiting to fill a packet
-                    // would add tens of milliseconds between tokens.
+                    // Pieces of an answer are small; Nagle's algorithm would add tens of
+                    // milliseconds between tokens.
                     let _ = stream.set_nodelay(true);
                     let service = Rc::clone(&service);
                     let open = Rc::clone(&open);
                     open.set(open.get() + 1);
                     actix_rt::spawn(async move {
-                        // A broken connection is the other side's affair.
+                        // A broken connection affects only its own caller, so the error is
+                        // ignored.
                         let _ = service.call(stream).await;
                         open.set(open.get() - 1);
                     });
@@ -120,26 +120,26 @@
     Ok(())
 }
 
-/// Reads the whole body of a request or an answer.
+/// Reads the whole body of a request or a response.
 ///
 /// # Errors
-/// [`BodyError`] when it is above `bound` bytes or breaks off.
-pub async fn read_body<S>(body: &mut S, bound: usize) -> Result<Bytes, BodyError>
+/// [`BodyError`] if the body exceeds `max_bytes` or is truncated.
+pub async fn read_body<S>(body: &mut S, max_bytes: usize) -> Result<Bytes, BodyError>
 where
     S: Stream<Item = Result<Bytes, PayloadError>> + Unpin,
 {
     let mut whole = BytesMut::new();
     while let Some(part) = body.next().await {
         let part = part.map_err(|_| BodyError::Broken)?;
-        if whole.len() + part.len() > bound {
-            return Err(BodyError::TooLong(bound));
+        if whole.len() + part.len() > max_bytes {
+            return Err(BodyError::TooLong(max_bytes));
         }
         whole.extend_from_slice(&part);
     }
     Ok(whole.freeze())
 }
 
-/// An answer with a body of the given media type.
+/// Builds a response with a body of the given media type.
 pub fn reply<B>(status: StatusCode, media: &'static str, body: B) -> Response<BoxBody>
 where
     B: MessageBody + 'static,
@@ -150,11 +150,11 @@
         .map_into_boxed_body()
 }
 
-/// True when it is certain that no byte of a request was sent.
+/// Returns true if no byte of a request was sent.
 ///
-/// Only a connection that was never made proves it. The client library also
-/// reports a [`ConnectError::Disconnected`] when a connection closes between
-/// the request and its answer, so that one proves nothing.
+/// Only a failure to connect proves this. The client library also reports
+/// [`ConnectError::Disconnected`] if a connection closes between the request and its response,
+/// so that variant proves nothing.
 pub fn was_unsent(error: &SendRequestError) -> bool {
     matches!(
         error,
@@ -169,8 +169,8 @@
     )
 }
 
-/// A client for this thread. `timeout` bounds the time until a connection is
-/// made and, unless a request says otherwise, the time until an answer's head.
+/// Creates a client for this thread. `timeout` limits the time to connect and, unless
+/// overridden per request, the time until the response head.
 pub fn client(timeout: Duration) -> awc::Client {
     awc::Client::builder()
         .connector(awc::Connector::new().timeout(timeout))
--- a/tests/http.rs
+++ b/tests/http.rs
@@ -10,8 +10,8 @@
 
 #[gtest]
 fn serve_stop() {
-    // A node is told to stop while a caller's request is under way. Without the
-    // wait for open connections the caller would see a broken connection.
+    // A node shuts down while a request is in flight. If the server did not wait for open
+    // connections, the caller would see a broken connection.
     actix_rt::System::new().block_on(async {
         let listener = http::listen("127.0.0.1:0".parse().unwrap()).unwrap();
         let address = listener.local_addr().unwrap();
