--- a/benches/member.rs
+++ b/benches/member.rs
@@ -1,8 +1,9 @@
-//! What membership costs: processor time of a step, by criterion, and bytes and
-//! times of large fleets in virtual time, which are the same on every run.
+//! Cost of membership: processor time per step, measured by criterion, and
+//! traffic and convergence times of large fleets in virtual time, which are
+//! deterministic.
 //!
-//! `cargo bench --bench member -- fleet` prints the fleets, and `-- step` times
-//! the steps.
+//! `cargo bench --bench member -- fleet` prints the fleets, and `-- step`
+//! measures the steps.
 
 #[path = "../tests/member/net.rs"]
 mod net;
@@ -16,7 +17,7 @@
 use criterion::Criterion;
 use net::{Net, secs};
 
-/// Sizes of fleets: the smallest, today's, and up to the design's.
+/// Fleet sizes: the smallest, the present one, and up to the design limit.
 const COUNTS: [usize; 5] = [3, 12, 48, 150, 330];
 
 fn bytes(net: &Net) -> f64 {
@@ -35,7 +36,7 @@
     for at in 0..count {
         net.start(at, &[0, 1, 2]);
     }
-    let formed = net.run_until(secs(300), |net| net.agreed(count));
+    let formed = net.run_until(secs(300), |net| net.converged(count));
     net.run(secs(60));
     let start = bytes(&net);
     net.run(secs(60));
@@ -63,7 +64,8 @@
     );
 }
 
-/// Half the zones of a fleet lose the others for five minutes.
+/// Two of the five zones of a fleet are partitioned from the others for five
+/// minutes.
 fn partition(seed: u64, count: usize) {
     let mut net = Net::fleet(seed, count);
     for at in (0..count).filter(|at| at % 5 < 2) {
@@ -72,12 +74,12 @@
     net.run(secs(300));
     let healed = net.now;
     net.groups.clear();
-    let took = net.run_until(secs(600), |net| net.agreed(count));
-    let died = net.became(State::Dead, healed).len();
+    let took = net.run_until(secs(600), |net| net.converged(count));
+    let died = net.changed_to(State::Dead, healed).len();
     println!("seed {seed} members {count}: whole again {took:?} after a cut, {died} wrong deaths");
 }
 
-/// Loss of datagrams without any fault; what is suspected is suspected wrongly.
+/// Datagram loss without any other fault; every suspicion is a false one.
 fn losses(count: usize) {
     for loss in [0.01, 0.05, 0.1, 0.2] {
         let mut net = Net::fleet(1, count);
@@ -85,11 +87,11 @@
         let start = net.now;
         net.run(secs(300));
         let suspected: BTreeSet<String> = net
-            .became(State::Suspect, start)
+            .changed_to(State::Suspect, start)
             .into_iter()
             .map(|(_, _, of)| of)
             .collect();
-        let died = net.became(State::Dead, start).len();
+        let died = net.changed_to(State::Dead, start).len();
         println!(
             "loss {loss}: {} of {count} members were suspected by somebody within 300 s, \
              {died} times one was taken for dead",
--- a/src/member.rs
+++ b/src/member.rs
@@ -1,7 +1,7 @@
-//! Which nodes there are, as this node sees it.
+//! Cluster membership as seen by this node.
 //!
-//! [`gossip`] decides, [`shell`] acts, and docs/design/members.md weighs the
-//! ways.
+//! [`gossip`] holds the protocol as a pure state machine and [`shell`] runs it on
+//! a socket. docs/design/members.md compares the alternatives.
 
 use std::collections::{HashMap, HashSet};
 
@@ -18,47 +18,47 @@
 pub mod shell;
 pub mod tuning;
 
-/// The table in which nodes register, for those who look for members.
+/// Table in which nodes register so that others can discover them.
 pub const TABLE: &str = "node";
 
-/// How a node seems to be.
+/// State of a member as seen by this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum State {
-    /// It answers.
+    /// Answers probes.
     Alive,
-    /// It did not answer lately; it is given time to say that it lives.
+    /// Failed a probe and has until the suspicion timeout to refute it.
     Suspect,
-    /// It is taken for gone.
+    /// Considered failed.
     Dead,
-    /// It said that it is leaving.
+    /// Announced that it is leaving.
     Leaving,
 }
 
-/// A node as the others know it.
+/// A node as advertised to other nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its name, unique in the fleet.
+    /// Name, unique in the fleet.
     pub name: Name,
-    /// Where callers reach it, as ip:port.
+    /// Address for callers, as ip:port.
     pub address: Name,
-    /// Where other nodes send it requests, as ip:port.
+    /// Address for requests from other nodes, as ip:port.
     pub link: Name,
-    /// Where other nodes send it control messages, as ip:port.
+    /// Address for control messages from other nodes, as ip:port.
     pub control: Name,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: Name,
-    /// Counts up when it restarts or contradicts a suspicion.
+    /// Incremented when the node restarts or refutes a suspicion.
     pub incarnation: u64,
-    /// How it seems to be.
+    /// State of the member.
     pub state: State,
-    /// The configuration version that it has in force.
+    /// Configuration version that the node has in force.
     pub config_version: u64,
-    /// Its processor, in thousandths of a core; 0 where it is not known.
+    /// Processor capacity in thousandths of a core; 0 if unknown.
     pub power: u16,
 }
 
 impl Member {
-    /// What the list of VMs says of it.
+    /// Returns the entry of this member in the list of VMs.
     pub fn vm(&self) -> Vm {
         Vm {
             name: self.name.clone(),
@@ -71,26 +71,26 @@
     }
 }
 
-/// An immutable list of members, sorted by name, this node among them.
+/// An immutable list of members, sorted by name and including this node.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct View {
-    /// The members.
+    /// Members in name order.
     pub members: Vec<Member>,
 }
 
 impl View {
-    /// The members that may be given work: alive or only suspected.
+    /// Returns the members that may be assigned work: alive or suspect.
     ///
-    /// A suspected one stays, because dropping a node that is merely slow would
-    /// move its endpoints to others and back again.
+    /// Suspect members are included, because excluding a node that is merely slow
+    /// would move its endpoints to other nodes and back again.
     pub fn usable(&self) -> impl Iterator<Item = &Member> {
         self.members
             .iter()
             .filter(|member| matches!(member.state, State::Alive | State::Suspect))
     }
 
-    /// How many live members go before this one for a matter that one of them is to
-    /// see to.
+    /// Returns the number of live members that rank before `me` in the rendezvous
+    /// hash of `matter`, a task that a single member should handle.
     pub fn rank(&self, matter: &str, me: &str) -> u32 {
         let seed = xxh3_64_with_seed(matter.as_bytes(), 0);
         let score = |name: &str| xxh3_64_with_seed(name.as_bytes(), seed);
@@ -102,10 +102,12 @@
         u32::try_from(before).unwrap_or(u32::MAX)
     }
 
-    /// The processes that may own work: not known to be gone, and not replaced by
-    /// a later process at the same address. A leaving one still hands its work on.
-    /// Each node looks five times a second, so members are not compared with each
-    /// other.
+    /// Returns the processes that may own work: not dead and not replaced by a
+    /// later process at the same address. A leaving process is included while it
+    /// hands its work over.
+    ///
+    /// Each node calls this five times a second, so it avoids comparing members
+    /// pairwise.
     pub fn owners(&self) -> HashSet<&Name> {
         let mut newest: HashMap<&Name, u64> = HashMap::with_capacity(self.members.len());
         for member in self.usable() {
@@ -124,7 +126,7 @@
             .collect()
     }
 
-    /// The member of that name, whatever its state.
+    /// Returns the member with this name, in any state.
     pub fn find(&self, name: &str) -> Option<&Member> {
         self.members
             .binary_search_by(|member| (*member.name).cmp(name))
--- a/src/member/broadcast.rs
+++ b/src/member/broadcast.rs
@@ -1,4 +1,4 @@
-//! News on its way, each item to be sent a bounded number of times.
+//! Updates to disseminate, each sent a bounded number of times.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 use crate::name::Name;
 use crate::wire::control::Update;
 
-/// What an update is about; a newer one of the same key replaces the older.
+/// Subject of an update; a newer update with the same key replaces the older one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Key {
     Record(Name),
@@ -27,65 +27,66 @@
 }
 
 #[derive(Clone, Debug)]
-struct Rumour {
+struct Broadcast {
     key: Key,
     update: Update,
     size: usize,
     sent: u32,
 }
 
-/// News that still has to be sent.
+/// Queue of updates that still have to be sent.
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
-    rumours: Vec<Rumour>,
+    broadcasts: Vec<Broadcast>,
 }
 
-/// Most rumours kept; beyond it those sent most often go first, because others
-/// carry them on and [`crate::wire::control::Body::Sync`] mends the rest.
-const MAX_RUMOURS: usize = 4_096;
+/// Maximum number of queued updates. Above it, those sent most often are dropped
+/// first, because other nodes already disseminate them and
+/// [`crate::wire::control::Body::Sync`] repairs the rest.
+const MAX_BROADCASTS: usize = 4_096;
 
 impl Queue {
-    /// Adds news, in place of older news of the same thing.
+    /// Adds an update, replacing an older one with the same key.
     pub fn push(&mut self, update: Update) {
         let key = key(&update);
         let size = update.size();
-        let rumour = Rumour {
+        let broadcast = Broadcast {
             key,
             update,
             size,
             sent: 0,
         };
-        if let Some(known) = self.rumours.iter_mut().find(|r| r.key == rumour.key) {
-            *known = rumour;
+        if let Some(known) = self.broadcasts.iter_mut().find(|r| r.key == broadcast.key) {
+            *known = broadcast;
             return;
         }
-        if self.rumours.len() >= MAX_RUMOURS {
-            self.rumours.sort_by_key(|r| r.sent);
-            self.rumours.pop();
+        if self.broadcasts.len() >= MAX_BROADCASTS {
+            self.broadcasts.sort_by_key(|r| r.sent);
+            self.broadcasts.pop();
         }
-        self.rumours.push(rumour);
+        self.broadcasts.push(broadcast);
     }
 
-    /// Takes what fits into `room` bytes, least sent first, and forgets what
-    /// has now been sent `limit` times.
+    /// Takes the updates that fit into `room` bytes, least sent first, and drops
+    /// those that have now been sent `limit` times.
     pub fn take(&mut self, room: usize, limit: u32) -> Vec<Update> {
-        self.rumours.sort_by_key(|r| r.sent);
+        self.broadcasts.sort_by_key(|r| r.sent);
         let mut left = room;
         let mut taken = Vec::new();
         let mut in_force = BTreeMap::<u64, BytesMut>::new();
-        for rumour in &mut self.rumours {
-            let size = match &rumour.update {
+        for broadcast in &mut self.broadcasts {
+            let size = match &broadcast.update {
                 Update::InForce { version, prints } if in_force.contains_key(version) => {
                     prints.len()
                 }
-                _ => rumour.size,
+                _ => broadcast.size,
             };
             if size > left {
                 continue;
             }
             left -= size;
-            rumour.sent += 1;
-            match &rumour.update {
+            broadcast.sent += 1;
+            match &broadcast.update {
                 Update::InForce { version, prints } => {
                     in_force
                         .entry(*version)
@@ -103,29 +104,29 @@
                     prints: prints.freeze(),
                 }),
         );
-        let waiting = self.rumours.len();
-        self.rumours
+        let waiting = self.broadcasts.len();
+        self.broadcasts
             .retain(|r| r.sent < r.update.sends(limit, waiting));
         taken
     }
 
-    /// Forgets accusations, because they are too old to be passed on.
+    /// Drops suspicions and deaths, because they are too old to be passed on.
     pub fn drop_accusations(&mut self) {
-        self.rumours.retain(|rumour| {
-            let Update::Record(record) = &rumour.update else {
+        self.broadcasts.retain(|broadcast| {
+            let Update::Record(record) = &broadcast.update else {
                 return true;
             };
             matches!(record.member.state, State::Alive | State::Leaving)
         });
     }
 
-    /// True when there is nothing to send.
+    /// Returns true if no update is pending.
     pub fn is_empty(&self) -> bool {
-        self.rumours.is_empty()
+        self.broadcasts.is_empty()
     }
 
-    /// Number of items still to be sent.
+    /// Returns the number of pending updates.
     pub fn len(&self) -> usize {
-        self.rumours.len()
+        self.broadcasts.len()
     }
 }
--- a/src/member/gossip.rs
+++ b/src/member/gossip.rs
@@ -1,5 +1,5 @@
-//! Membership as a decision: what arrives goes in, what is to be sent and told
-//! comes out. No socket, clock or log is touched here.
+//! The membership protocol as a pure state machine: inputs go in, actions come
+//! out. It uses no socket, clock or log.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -24,121 +24,122 @@
 mod schedule;
 mod sync;
 
-/// Bytes of a datagram without news, as far as budgets go.
-const HEAD: u64 = 64;
+/// Bytes of a datagram without updates, as charged to a budget.
+const BASE_BYTES: u64 = 64;
 
-/// What happened.
+/// An input of the protocol.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Time passed.
+    /// Time has passed.
     Tick,
-    /// A datagram arrived.
+    /// A datagram was received.
     Frame {
-        /// Where it came from.
+        /// Source address.
         source: SocketAddr,
-        /// What it says.
+        /// Decoded datagram.
         frame: Frame,
     },
-    /// The platform's list was read.
+    /// The platform's list of VMs was read.
     Roster(Vec<Vm>),
     /// This node has a configuration version in force.
     InForce(u64),
     /// This node learned that a configuration version was committed.
     Committed(u64),
-    /// A hint for everyone.
+    /// A note to disseminate to all nodes.
     Note(Note),
     /// A message for one member.
     Direct {
         /// The member.
         to: Name,
-        /// What it is about.
+        /// Topic of the message.
         topic: u8,
-        /// The message.
+        /// Content of the message.
         value: Bytes,
     },
     /// This node starts to leave.
     Leave,
-    /// This node ends now.
+    /// This node exits now.
     Exit,
 }
 
-/// What is to be done.
+/// An action that the caller must carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send a datagram.
     Send {
-        /// Where to.
+        /// Destination address.
         to: SocketAddr,
-        /// What.
+        /// Datagram.
         frame: Frame,
     },
     /// Publish [`Gossip::view`].
     Publish,
-    /// A newer configuration version was committed somewhere.
+    /// A newer configuration version was committed.
     Committed(u64),
-    /// A hint arrived.
+    /// A note was received.
     Note(Note),
-    /// A message for this node arrived.
+    /// A message for this node was received.
     Direct {
-        /// Who sent it.
+        /// Name of the sender.
         from: Name,
-        /// What it is about.
+        /// Topic of the message.
         topic: u8,
-        /// The message.
+        /// Content of the message.
         value: Bytes,
     },
-    /// A member seems to be in another state than before; for log and counters.
+    /// The state of a member changed; for logs and counters.
     StateChanged {
         /// The member.
         name: Name,
-        /// Its state.
+        /// New state of the member.
         state: State,
     },
-    /// This node was thought dead or suspect and said that it lives.
+    /// This node refuted a suspicion or its own death.
     Refuted,
-    /// This process was paused for longer than others wait.
+    /// This process was paused for longer than the pause threshold.
     Paused,
-    /// A message for a member was dropped: there are too many of them, it is too
-    /// long, or the member is not there.
+    /// A direct message was dropped: over budget, too long, or for an unknown
+    /// member.
     Dropped,
-    /// A datagram was meant for somebody else, or can't be true.
+    /// A datagram was misdirected or invalid.
     Refused,
-    /// Another process uses this node's name and keeps it; this one must leave.
+    /// Another process won the conflict over this node's name; this one must
+    /// leave.
     Replaced,
 }
 
-/// What is known of another member.
+/// Local state of another member.
 #[derive(Clone, Debug)]
 struct Entry {
     record: Record,
     control: SocketAddr,
-    /// When it was last heard of, from itself.
-    heard: Time,
-    /// When its state last changed.
-    since: Time,
-    /// When it is taken for dead unless it says that it lives.
+    /// Time of the last datagram from the member itself.
+    last_contact: Time,
+    /// Time of the last state change.
+    changed_at: Time,
+    /// Time at which it is declared dead unless it refutes the suspicion.
     deadline: Option<Time>,
 }
 
 /// Another process that uses this node's name.
 #[derive(Clone, Copy, Debug)]
-struct Rival {
+struct Conflict {
     boot: u64,
     incarnation: u64,
-    rises: u32,
+    increases: u32,
 }
 
-/// When each thing is due next.
+/// Times at which the periodic tasks are due.
 #[derive(Clone, Copy, Debug)]
 struct Due {
     gossip: Time,
     probe: Time,
     sync: Time,
     reconnect: Time,
-    ask: Time,
+    sync_request: Time,
 }
 
-/// Membership as one node sees it.
+/// Membership as seen by one node.
 #[derive(Debug)]
 pub struct Gossip {
     tuning: Tuning,
@@ -148,13 +149,13 @@
     prints: BTreeMap<u64, Name>,
     seeds: Vec<SocketAddr>,
     roster: Vec<SocketAddr>,
-    /// Addresses of the last list that this node has not introduced itself at.
-    unmet: Vec<SocketAddr>,
+    /// Addresses of the last list to which no introduction was sent yet.
+    uncontacted: Vec<SocketAddr>,
     prober: Prober,
-    rumours: Queue,
+    broadcasts: Queue,
     notes: BTreeMap<(u8, Name), (u64, Time)>,
     committed: u64,
-    rival: Option<Rival>,
+    conflict: Option<Conflict>,
     replaced: bool,
     last_step: Time,
     last_heard: Time,
@@ -164,14 +165,15 @@
 }
 
 impl Gossip {
-    /// Starts as the only member. `boot` tells this process from others of the
-    /// same name; `seeds` are control addresses to try first.
+    /// Creates a node that is its own only member. `boot` distinguishes this
+    /// process from others of the same name; `seeds` are control addresses to
+    /// contact first.
     pub fn new(now: Time, me: Member, boot: u64, seeds: Vec<SocketAddr>, tuning: Tuning) -> Self {
         let mut me = Record { member: me, boot };
         me.member.state = State::Alive;
         me.member.incarnation = me.member.incarnation.max(1);
-        let mut rumours = Queue::default();
-        rumours.push(Update::Record(me.clone()));
+        let mut broadcasts = Queue::default();
+        broadcasts.push(Update::Record(me.clone()));
         Self {
             tuning,
             committed: me.member.config_version,
@@ -181,11 +183,11 @@
             prints: BTreeMap::new(),
             seeds,
             roster: Vec::new(),
-            unmet: Vec::new(),
+            uncontacted: Vec::new(),
             prober: Prober::default(),
-            rumours,
+            broadcasts,
             notes: BTreeMap::new(),
-            rival: None,
+            conflict: None,
             replaced: false,
             last_step: now,
             last_heard: now,
@@ -196,28 +198,28 @@
                 probe: now,
                 sync: now + tuning.sync_interval,
                 reconnect: now,
-                ask: now,
+                sync_request: now,
             },
         }
     }
 
-    /// Takes one input and says what is to be done.
+    /// Handles one input and returns the resulting actions.
     pub fn step(&mut self, now: Time, input: Input) -> Vec<Action> {
         let mut actions = Vec::new();
         if self.replaced {
             return actions;
         }
-        self.notice_pause(now, &mut actions);
+        self.detect_pause(now, &mut actions);
         match input {
             Input::Tick => self.tick(now, &mut actions),
             Input::Frame { source, frame } => self.receive(now, source, frame, &mut actions),
-            Input::Roster(vms) => self.list(&vms),
+            Input::Roster(vms) => self.set_roster(&vms),
             Input::InForce(version) => self.put_in_force(version, &mut actions),
             Input::Committed(version) => {
                 self.learn_committed(version);
             }
             Input::Note(note) => {
-                self.remember(now, &note);
+                self.learn_note(now, &note);
             }
             Input::Direct { to, topic, value } => self.direct(&to, topic, value, &mut actions),
             Input::Leave => self.leave(now, &mut actions),
@@ -226,7 +228,7 @@
         actions
     }
 
-    /// The members as this node sees them, itself among them.
+    /// Returns the members as seen by this node, including itself.
     pub fn view(&self) -> View {
         let mut members: Vec<Member> = self
             .entries
@@ -238,65 +240,65 @@
         View { members }
     }
 
-    /// This node as it tells others.
+    /// Returns this node as advertised to others.
     pub fn me(&self) -> &Member {
         &self.me.member
     }
 
-    /// The newest configuration version that this node has heard of.
+    /// Returns the newest committed configuration version known to this node.
     pub fn committed(&self) -> u64 {
         self.committed
     }
 
-    /// When a member last spoke to this node.
+    /// Returns the time of the last datagram from a member.
     pub fn last_contact(&self, name: &str) -> Option<Time> {
-        self.entries.get(name).map(|entry| entry.heard)
+        self.entries.get(name).map(|entry| entry.last_contact)
     }
 
-    /// Number of news items that this node still has to send.
+    /// Returns the number of updates that this node still has to send.
     pub fn pending_updates(&self) -> usize {
-        self.rumours.len()
+        self.broadcasts.len()
     }
 
-    /// Number of members that are not dead, this node among them.
-    fn living(&self) -> usize {
+    /// Returns the number of members that are not dead, including this node.
+    fn live_members(&self) -> usize {
         1 + self.peers().count()
     }
 
-    /// The other members that are not dead.
+    /// Returns the other members that are not dead.
     fn peers(&self) -> impl Iterator<Item = &Entry> {
         self.entries
             .values()
             .filter(|entry| entry.record.member.state != State::Dead)
     }
 
-    /// Up to `count` peers, chosen at random.
-    fn some_peers(&mut self, count: usize, but: Option<&Name>) -> Vec<(Name, SocketAddr)> {
+    /// Returns up to `count` random peers other than `excluded`.
+    fn random_peers(&mut self, count: usize, excluded: Option<&Name>) -> Vec<(Name, SocketAddr)> {
         let all: Vec<(Name, SocketAddr)> = self
             .peers()
-            .filter(|entry| Some(&entry.record.member.name) != but)
+            .filter(|entry| Some(&entry.record.member.name) != excluded)
             .map(|entry| (entry.record.member.name.clone(), entry.control))
             .collect();
         all.choose_multiple(&mut self.rng, count).cloned().collect()
     }
 
-    /// Sends `body` with whatever news fits and the budget allows.
+    /// Sends `body` with the updates that fit into the datagram and the budget.
     fn send(&mut self, to: SocketAddr, body: Body, first: Vec<Update>, actions: &mut Vec<Action>) {
         let taken: usize = first.iter().map(Update::size).sum();
         let budget = usize::try_from(self.budget).unwrap_or(usize::MAX);
         let room = (MAX_DATAGRAM_BYTES - MAX_HEAD_BYTES)
             .saturating_sub(taken)
             .min(budget);
-        let limit = self.tuning.retransmit_limit(self.living());
+        let limit = self.tuning.retransmit_limit(self.live_members());
         let mut updates = first;
         if matches!(body, Body::Ping { .. } | Body::Ack { .. } | Body::Gossip) {
-            updates.extend(self.rumours.take(room, limit));
+            updates.extend(self.broadcasts.take(room, limit));
         }
-        self.post(to, body, updates, actions);
+        self.send_exact(to, body, updates, actions);
     }
 
-    /// Sends exactly this, on the account of news.
-    fn post(
+    /// Sends exactly these updates and charges them to the gossip budget.
+    fn send_exact(
         &mut self,
         to: SocketAddr,
         body: Body,
@@ -304,7 +306,7 @@
         actions: &mut Vec<Action>,
     ) {
         let size: usize = updates.iter().map(Update::size).sum();
-        self.budget = self.budget.saturating_sub(size as u64 + HEAD);
+        self.budget = self.budget.saturating_sub(size as u64 + BASE_BYTES);
         actions.push(self.action(to, body, updates));
     }
 
@@ -324,8 +326,9 @@
         Action::Send { to, frame }
     }
 
-    /// What a member that is doubted has to be told, so that it can object.
-    fn accusation(&self, name: &str) -> Vec<Update> {
+    /// Returns the suspicion or death recorded for a member, so that it can
+    /// refute it.
+    fn accusation_of(&self, name: &str) -> Vec<Update> {
         self.entries
             .get(name)
             .filter(|entry| matches!(entry.record.member.state, State::Suspect | State::Dead))
--- a/src/member/gossip/learn.rs
+++ b/src/member/gossip/learn.rs
@@ -1,21 +1,21 @@
-//! What a node makes of news, its own and that of others.
+//! Applies updates of this node and of others.
 
 use bytes::Bytes;
 
-use super::{Action, Entry, Gossip, Rival};
+use super::{Action, Conflict, Entry, Gossip};
 use crate::clock::Time;
 use crate::member::State;
 use crate::member::record::Record;
 use crate::name::Name;
 use crate::wire::control::{FINGERPRINT_BYTES, MAX_VALUE_BYTES, Note, Update};
 
-/// Incarnations above this can't have been reached by counting. Taking one for
-/// true would leave its owner without a higher one to object with.
+/// Upper bound of plausible incarnations. A node could not refute a record with
+/// an incarnation above it, because there would be no higher one left.
 const MAX_INCARNATION: u64 = 1 << 48;
-/// A rival that outbids this node this often is a running process, not an old
-/// record of one.
-const MAX_RISES: u32 = 3;
-/// Most notes remembered.
+/// Number of increases after which a conflicting incarnation is attributed to a
+/// running process instead of a stale record of an earlier one.
+const MAX_INCREASES: u32 = 3;
+/// Maximum number of stored notes.
 const MAX_NOTES: usize = 8_192;
 
 fn in_force(print: u64, version: u64) -> Update {
@@ -24,7 +24,7 @@
 }
 
 impl Gossip {
-    /// Takes a record; true when it was news.
+    /// Applies a record; returns true if it was new.
     pub(super) fn learn(&mut self, now: Time, record: &Record, actions: &mut Vec<Action>) -> bool {
         let Ok(control) = record.member.control.parse() else {
             actions.push(Action::Refused);
@@ -37,8 +37,9 @@
         let name = &record.member.name;
         let state = record.member.state;
         let known = self.entries.get(name);
-        // The dead are remembered only by those who knew them; otherwise nodes
-        // that forget at different times would remind each other for ever.
+        // Only nodes that knew a member store its death. Otherwise nodes that
+        // forget it at different times would reintroduce it to each other
+        // indefinitely.
         if known.is_none() && state == State::Dead {
             return false;
         }
@@ -53,10 +54,10 @@
             let version = known.record.member.config_version;
             record.member.config_version = record.member.config_version.max(version);
         }
-        let wait = self.tuning.suspicion_timeout(self.living());
+        let wait = self.tuning.suspicion_timeout(self.live_members());
         let entry = Entry {
-            heard: known.map_or(now, |entry| entry.heard),
-            since: now,
+            last_contact: known.map_or(now, |entry| entry.last_contact),
+            changed_at: now,
             deadline: (state == State::Suspect).then(|| now + wait),
             record,
             control,
@@ -71,59 +72,59 @@
         true
     }
 
-    /// Takes what somebody says of this very node; true when this node had to
-    /// object.
+    /// Applies a record about this node; returns true if this node had to refute
+    /// it.
     pub(super) fn learn_self(&mut self, record: &Record, actions: &mut Vec<Action>) -> bool {
-        let said = record.member.incarnation;
-        if said > MAX_INCARNATION || said < self.me.member.incarnation {
+        let claimed = record.member.incarnation;
+        if claimed > MAX_INCARNATION || claimed < self.me.member.incarnation {
             return false;
         }
         if record.boot == self.me.boot {
             if matches!(record.member.state, State::Alive | State::Leaving) {
                 return false;
             }
-        } else if self.lost_name_to(record) {
+        } else if self.must_yield_name(record) {
             self.replaced = true;
             actions.push(Action::Replaced);
             return false;
         }
-        self.me.member.incarnation = said + 1;
-        self.rumours.push(Update::Record(self.me.clone()));
+        self.me.member.incarnation = claimed + 1;
+        self.broadcasts.push(Update::Record(self.me.clone()));
         actions.push(Action::Refuted);
         actions.push(Action::Publish);
         true
     }
 
-    /// True when another process holds this node's name and goes on outbidding.
+    /// Returns true if this node must yield its name to another running process.
     ///
-    /// Records of an earlier process of this name never rise, so a restart
-    /// always wins against them. Two that run at once would outbid each other
-    /// for ever and callers would reach now one, now the other; the one with
-    /// the lower boot number gives in.
-    fn lost_name_to(&mut self, record: &Record) -> bool {
-        let said = record.member.incarnation;
-        let rival = match self.rival {
-            Some(rival) if rival.boot == record.boot => rival,
-            _ => Rival {
+    /// The incarnation in a stale record of an earlier process never increases,
+    /// so a restarted node always prevails over it. Two running processes with
+    /// one name would increase their incarnations indefinitely and callers would
+    /// alternate between them; the one with the lower boot number yields.
+    fn must_yield_name(&mut self, record: &Record) -> bool {
+        let claimed = record.member.incarnation;
+        let conflict = match self.conflict {
+            Some(conflict) if conflict.boot == record.boot => conflict,
+            _ => Conflict {
                 boot: record.boot,
-                incarnation: said,
-                rises: 0,
+                incarnation: claimed,
+                increases: 0,
             },
         };
-        let rose = u32::from(said > rival.incarnation);
-        let rival = Rival {
-            incarnation: rival.incarnation.max(said),
-            rises: rival.rises + rose,
-            ..rival
+        let increase = u32::from(claimed > conflict.incarnation);
+        let conflict = Conflict {
+            incarnation: conflict.incarnation.max(claimed),
+            increases: conflict.increases + increase,
+            ..conflict
         };
-        self.rival = Some(rival);
-        rival.rises >= MAX_RISES && record.boot > self.me.boot
+        self.conflict = Some(conflict);
+        conflict.increases >= MAX_INCREASES && record.boot > self.me.boot
     }
 
-    /// Marks a member that did not answer, unless it is known to be leaving:
-    /// that it leaves must not be forgotten because it is slow.
+    /// Marks a member that did not answer as suspect. A leaving member stays
+    /// `Leaving`, because a slow answer must not cancel its departure.
     pub(super) fn suspect(&mut self, now: Time, name: &Name, actions: &mut Vec<Action>) {
-        let wait = self.tuning.suspicion_timeout(self.living());
+        let wait = self.tuning.suspicion_timeout(self.live_members());
         let Some(entry) = self.entries.get_mut(name) else {
             return;
         };
@@ -132,22 +133,22 @@
                 let mut record = entry.record.clone();
                 record.member.state = State::Suspect;
                 self.learn(now, &record, actions);
-                self.rumours.push(Update::Record(record));
+                self.broadcasts.push(Update::Record(record));
             }
             State::Leaving => entry.deadline = entry.deadline.or(Some(now + wait)),
             State::Suspect | State::Dead => {}
         }
     }
 
-    /// Takes a member for dead.
-    pub(super) fn bury(&mut self, now: Time, name: &Name, actions: &mut Vec<Action>) {
+    /// Declares a member dead.
+    pub(super) fn declare_dead(&mut self, now: Time, name: &Name, actions: &mut Vec<Action>) {
         let Some(entry) = self.entries.get(name) else {
             return;
         };
         let mut record = entry.record.clone();
         record.member.state = State::Dead;
         self.learn(now, &record, actions);
-        self.rumours.push(Update::Record(record));
+        self.broadcasts.push(Update::Record(record));
     }
 
     pub(super) fn put_in_force(&mut self, version: u64, actions: &mut Vec<Action>) {
@@ -155,12 +156,14 @@
             return;
         }
         self.me.member.config_version = version;
-        self.rumours.push(in_force(self.me.fingerprint(), version));
+        self.broadcasts
+            .push(in_force(self.me.fingerprint(), version));
         self.learn_committed(version);
         actions.push(Action::Publish);
     }
 
-    /// Takes the version that a member has in force and passes it on.
+    /// Applies the configuration version that a member has in force and
+    /// disseminates it.
     pub(super) fn learn_in_force(
         &mut self,
         name: &Name,
@@ -177,11 +180,11 @@
         }
         member.config_version = version;
         let update = in_force(entry.record.fingerprint(), version);
-        self.rumours.push(update);
+        self.broadcasts.push(update);
         actions.push(Action::Publish);
     }
 
-    /// Takes the version that several members have in force.
+    /// Applies the configuration version that several members have in force.
     pub(super) fn learn_prints(&mut self, version: u64, prints: &[u8], actions: &mut Vec<Action>) {
         for print in prints.chunks_exact(FINGERPRINT_BYTES) {
             let print = print
@@ -201,18 +204,18 @@
         }
     }
 
-    /// Takes the newest committed version; true when it was news.
+    /// Applies a committed configuration version; returns true if it was new.
     pub(super) fn learn_committed(&mut self, version: u64) -> bool {
         if version <= self.committed {
             return false;
         }
         self.committed = version;
-        self.rumours.push(Update::Committed(version));
+        self.broadcasts.push(Update::Committed(version));
         true
     }
 
-    /// Takes a note and passes it on; true when it was news.
-    pub(super) fn remember(&mut self, now: Time, note: &Note) -> bool {
+    /// Applies a note and disseminates it; returns true if it was new.
+    pub(super) fn learn_note(&mut self, now: Time, note: &Note) -> bool {
         let key = (note.topic, note.key.clone());
         let known = self.notes.get(&key).map_or(0, |(version, _)| *version);
         let full = self.notes.len() >= MAX_NOTES && !self.notes.contains_key(&key);
@@ -220,7 +223,7 @@
             return false;
         }
         self.notes.insert(key, (note.version, now));
-        self.rumours.push(Update::Note(note.clone()));
+        self.broadcasts.push(Update::Note(note.clone()));
         true
     }
 }
--- a/src/member/gossip/receive.rs
+++ b/src/member/gossip/receive.rs
@@ -1,4 +1,4 @@
-//! What a node makes of a datagram.
+//! Handles received datagrams.
 
 use std::net::SocketAddr;
 
@@ -9,14 +9,14 @@
 use crate::name::Name;
 use crate::wire::control::{Body, Frame, Head, Update};
 
-/// What a node knows of a sender, compared with what the sender says.
+/// The stored record of a sender compared with the header of its datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Standing {
-    /// As it says itself.
+    /// The record matches the header.
     Known,
-    /// Never heard of, or only of an earlier process or incarnation.
+    /// Unknown, or known only from an earlier process or incarnation.
     New,
-    /// Thought suspect or dead, or of a higher incarnation than it says.
+    /// Suspect, dead, or stored with a higher incarnation than in the header.
     Doubted,
 }
 
@@ -34,7 +34,7 @@
             updates,
         } = frame;
         if head.from == self.me.member.name {
-            self.meet_namesake(source, &head, actions);
+            self.handle_name_conflict(source, &head, actions);
             return;
         }
         self.last_heard = now;
@@ -43,21 +43,22 @@
         }
         self.learn_in_force(&head.from, head.boot, head.in_force, actions);
         if let Some(entry) = self.entries.get_mut(&head.from) {
-            entry.heard = now;
+            entry.last_contact = now;
         }
-        // Whoever introduces itself does so at all others; nobody need pass it on.
+        // A node introduces itself to every other node, so its record need not be
+        // disseminated.
         let table = matches!(body, Body::Table | Body::Hello { .. });
-        // A node that was declared dead and does not know it goes on accusing
-        // others with old news; it is told, and believed once it objected.
-        let gone = self.standing(&head) == Standing::Doubted && self.is_dead(&head.from);
-        let mut objected = false;
+        // A node that was declared dead without noticing keeps sending stale
+        // suspicions. They are ignored until it has refuted its own death.
+        let declared_dead = self.standing(&head) == Standing::Doubted && self.is_dead(&head.from);
+        let mut refuted = false;
         for update in updates {
             let own = matches!(&update, Update::Record(r) if r.member.name == head.from);
-            if !gone || table || own || self.is_me(&update) {
-                objected |= self.take(now, update, table, actions);
+            if !declared_dead || table || own || self.is_me(&update) {
+                refuted |= self.apply(now, update, table, actions);
             }
         }
-        self.answer(now, source, &head, body, objected, actions);
+        self.answer(now, source, &head, body, refuted, actions);
     }
 
     fn is_dead(&self, name: &Name) -> bool {
@@ -74,25 +75,26 @@
             return Standing::New;
         };
         let known = (entry.record.member.incarnation, entry.record.boot);
-        let said = (head.incarnation, head.boot);
+        let claimed = (head.incarnation, head.boot);
         let doubted = matches!(entry.record.member.state, State::Suspect | State::Dead);
-        match said.cmp(&known) {
+        match claimed.cmp(&known) {
             std::cmp::Ordering::Greater => Standing::New,
             std::cmp::Ordering::Equal if !doubted => Standing::Known,
             _ => Standing::Doubted,
         }
     }
 
-    /// Takes one update; true when this node had to object.
-    fn take(&mut self, now: Time, update: Update, table: bool, actions: &mut Vec<Action>) -> bool {
+    /// Applies one update; returns true if this node refuted a record about
+    /// itself.
+    fn apply(&mut self, now: Time, update: Update, table: bool, actions: &mut Vec<Action>) -> bool {
         match update {
             Update::Record(record) if record.member.name == self.me.member.name => {
                 return self.learn_self(&record, actions);
             }
-            Update::Record(record) if table => self.learn_gently(now, &record, actions),
+            Update::Record(record) if table => self.learn_from_table(now, &record, actions),
             Update::Record(record) => {
                 if self.learn(now, &record, actions) {
-                    self.rumours.push(Update::Record(record));
+                    self.broadcasts.push(Update::Record(record));
                 }
             }
             Update::InForce { version, prints } => self.learn_prints(version, &prints, actions),
@@ -102,7 +104,7 @@
                 }
             }
             Update::Note(note) => {
-                if self.remember(now, &note) {
+                if self.learn_note(now, &note) {
                     actions.push(Action::Note(note));
                 }
             }
@@ -110,22 +112,23 @@
         false
     }
 
-    /// Takes a record out of another node's table.
+    /// Applies a record from another node's table.
     ///
-    /// Two halves of a fleet that were cut apart hold each other for dead. If
-    /// each believed the other's table when they meet, both would drop every
-    /// node at once, and callers would find nobody. So an accusation from a
-    /// table is only passed to the accused, who objects or fails the probe.
-    fn learn_gently(&mut self, now: Time, record: &Record, actions: &mut Vec<Action>) {
+    /// After a network partition, each half considers the other one dead. If each
+    /// applied the other's table when they reconnect, all nodes would be removed
+    /// at once and callers would find none. A suspicion or death from a table is
+    /// therefore only forwarded to its subject, which refutes it or fails the
+    /// next probe.
+    fn learn_from_table(&mut self, now: Time, record: &Record, actions: &mut Vec<Action>) {
         let name = &record.member.name;
         let accused = matches!(record.member.state, State::Suspect | State::Dead);
         let known = self.entries.get(name);
         if !accused || known.is_none() {
-            // A newcomer learns everybody this way; only what corrects a known
-            // record is news to others as well.
+            // A joining node learns all members from tables. Only corrections of
+            // known records are news to other nodes as well.
             let corrects = known.is_some();
             if self.learn(now, record, actions) && corrects {
-                self.rumours.push(Update::Record(record.clone()));
+                self.broadcasts.push(Update::Record(record.clone()));
             }
             return;
         }
@@ -134,9 +137,9 @@
             return;
         }
         let to = entry.control;
-        self.prober.hurry(name);
+        self.prober.prioritise(name);
         let updates = vec![Update::Record(record.clone())];
-        self.post(to, Body::Gossip, updates, actions);
+        self.send_exact(to, Body::Gossip, updates, actions);
     }
 
     fn answer(
@@ -145,15 +148,15 @@
         source: SocketAddr,
         head: &Head,
         body: Body,
-        objected: bool,
+        refuted: bool,
         actions: &mut Vec<Action>,
     ) {
         let standing = self.standing(head);
         if standing == Standing::New {
-            self.ask(now, source, actions);
+            self.request_sync(now, source, actions);
         }
         let mut first = Vec::new();
-        if objected {
+        if refuted {
             first.push(Update::Record(self.me.clone()));
         }
         if standing == Standing::Doubted
@@ -167,36 +170,36 @@
                 self.send(source, Body::Ack { seq, of }, first, actions);
                 return;
             }
-            // Somebody else had this address before. An answer would make the
-            // one who is gone look alive.
+            // Another node used this address before. An answer would make that
+            // node look alive.
             Body::Ping { .. } => actions.push(Action::Refused),
             Body::Ack { seq, of } => self.acknowledged(seq, of, actions),
             Body::Probe { seq, to, address } => {
-                self.try_for(now, source, seq, to, &address, actions);
+                self.probe_for(now, source, seq, to, &address, actions);
             }
             Body::Sync { digests, answer } => {
-                self.synchronise(now, source, &digests, answer, actions);
+                self.answer_sync(now, source, &digests, answer, actions);
             }
             Body::Direct { topic, value } => {
                 let from = head.from.clone();
                 actions.push(Action::Direct { from, topic, value });
             }
-            Body::Hello { answer: false } => actions.push(self.hello(source, true)),
+            Body::Hello { answer: false } => actions.push(self.introduction(source, true)),
             Body::Hello { answer: true } | Body::Gossip | Body::Table => {}
         }
-        // Within the budget, so that two nodes which go on contradicting each
-        // other, whatever the reason, can't fill the network.
+        // Sent within the budget, so that two nodes with conflicting records
+        // cannot flood the network.
         if !first.is_empty() && self.budget > 0 {
             self.send(source, Body::Gossip, first, actions);
         }
     }
 
     fn acknowledged(&mut self, seq: u32, of: Name, actions: &mut Vec<Action>) {
-        if let Some((asker, seq)) = self.prober.relayed(seq, &of) {
-            self.send(asker, Body::Ack { seq, of }, Vec::new(), actions);
+        if let Some((requester, seq)) = self.prober.take_relay(seq, &of) {
+            self.send(requester, Body::Ack { seq, of }, Vec::new(), actions);
             return;
         }
-        if self.prober.answer(seq, &of)
+        if self.prober.acknowledge(seq, &of)
             && let Some(entry) = self.entries.get_mut(&of)
             && entry.record.member.state == State::Leaving
         {
@@ -204,10 +207,10 @@
         }
     }
 
-    fn try_for(
+    fn probe_for(
         &mut self,
         now: Time,
-        asker: SocketAddr,
+        requester: SocketAddr,
         seq: u32,
         to: Name,
         address: &Name,
@@ -217,14 +220,14 @@
             actions.push(Action::Refused);
             return;
         };
-        if let Some(seq) = self.prober.relay(now, asker, seq, to.clone()) {
-            let first = self.accusation(&to);
+        if let Some(seq) = self.prober.add_relay(now, requester, seq, to.clone()) {
+            let first = self.accusation_of(&to);
             self.send(target, Body::Ping { seq, to }, first, actions);
         }
     }
 
-    /// Somebody speaks under this node's name.
-    fn meet_namesake(&mut self, source: SocketAddr, head: &Head, actions: &mut Vec<Action>) {
+    /// Handles a datagram from another process that uses this node's name.
+    fn handle_name_conflict(&mut self, source: SocketAddr, head: &Head, actions: &mut Vec<Action>) {
         if head.boot == self.me.boot {
             actions.push(Action::Refused);
             return;
--- a/src/member/gossip/sync.rs
+++ b/src/member/gossip/sync.rs
@@ -1,4 +1,4 @@
-//! Comparing members with a peer, and finding those one has lost.
+//! Anti-entropy with peers, and rediscovery of lost members.
 
 use std::collections::HashSet;
 use std::hash::Hasher;
@@ -17,20 +17,20 @@
 use crate::table::Vm;
 use crate::wire::control::{Body, MAX_DATAGRAM_BYTES, MAX_HEAD_BYTES, Update};
 
-/// Members are compared in this many buckets, so that one that differs costs
-/// the sending of a few and not of all.
+/// Number of hash buckets that are compared, so that one differing member costs
+/// sending a few records instead of all.
 const BUCKETS: usize = 128;
 /// Bytes of a bucket's digest.
-const WIDTH: usize = 4;
-/// A node that meets unknown peers asks one of them this often.
-const ASK: Duration = Duration::from_millis(500);
-/// While a comparison finds differences, the next one comes this soon.
-const AGAIN: Duration = Duration::from_secs(1);
-/// Addresses that a node without peers tries at a time.
-const TRIES: usize = 3;
-/// Addresses of the platform's list at which a node introduces itself in one
-/// step: with a step each 50 ms, 330 in a second, at some 250 bytes each.
-const HELLOS: usize = 16;
+const DIGEST_BYTES: usize = 4;
+/// Minimum interval between sync requests to unknown peers.
+const SYNC_REQUEST_INTERVAL: Duration = Duration::from_millis(500);
+/// Delay before the next sync after one that found differences.
+const RESYNC_DELAY: Duration = Duration::from_secs(1);
+/// Number of addresses that a node without peers contacts at a time.
+const JOIN_FANOUT: usize = 3;
+/// Maximum number of introductions per step: at one step per 50 ms, 330 in one
+/// second at about 250 bytes each.
+const MAX_INTRODUCTIONS_PER_STEP: usize = 16;
 
 fn bucket(name: &str) -> usize {
     let mut hash = Xxh3::new();
@@ -39,33 +39,33 @@
 }
 
 impl Gossip {
-    /// Compares members with one live peer.
-    pub(super) fn compare(&mut self, actions: &mut Vec<Action>) {
-        for (_, to) in self.some_peers(1, None) {
-            self.offer(to, false, actions);
+    /// Starts a sync with one live peer.
+    pub(super) fn start_sync(&mut self, actions: &mut Vec<Action>) {
+        for (_, to) in self.random_peers(1, None) {
+            self.send_digests(to, false, actions);
         }
     }
 
-    fn offer(&mut self, to: SocketAddr, answer: bool, actions: &mut Vec<Action>) {
+    fn send_digests(&mut self, to: SocketAddr, answer: bool, actions: &mut Vec<Action>) {
         let digests = self.digests();
         let first = vec![Update::Record(self.me.clone())];
         let digests = Bytes::from(digests);
-        self.post(to, Body::Sync { digests, answer }, first, actions);
+        self.send_exact(to, Body::Sync { digests, answer }, first, actions);
     }
 
-    /// Asks a peer for what this node lacks.
-    pub(super) fn ask(&mut self, now: Time, to: SocketAddr, actions: &mut Vec<Action>) {
-        if now >= self.due.ask {
-            self.due.ask = now + ASK;
-            self.offer(to, false, actions);
+    /// Requests a sync from a peer.
+    pub(super) fn request_sync(&mut self, now: Time, to: SocketAddr, actions: &mut Vec<Action>) {
+        if now >= self.due.sync_request {
+            self.due.sync_request = now + SYNC_REQUEST_INTERVAL;
+            self.send_digests(to, false, actions);
         }
     }
 
-    /// Tries addresses that should belong to a member and don't: those on the
-    /// platform's list, those of members taken for dead, and the seeds.
+    /// Contacts addresses that should belong to a live member but do not: those
+    /// on the platform's list, those of dead members, and the seeds.
     ///
-    /// Without this, regions that were cut apart would stay apart for ever, as
-    /// would nodes that all restart while the platform's list is down.
+    /// Without this, partitioned regions would never reconnect, nor would nodes
+    /// that all restart while the platform's list is unavailable.
     pub(super) fn reconnect(&mut self, now: Time, actions: &mut Vec<Action>) {
         let alone = self.peers().next().is_none();
         let wait = if alone {
@@ -74,7 +74,7 @@
             self.tuning.reconnect_interval
         };
         self.due.reconnect = now + wait;
-        let living: Vec<SocketAddr> = self.peers().map(|entry| entry.control).collect();
+        let live: Vec<SocketAddr> = self.peers().map(|entry| entry.control).collect();
         let own = self.me.member.control.parse().ok();
         let dead = self
             .entries
@@ -84,59 +84,59 @@
             .map(|entry| entry.control)
             .chain(self.roster.iter().copied())
             .chain(self.seeds.iter().copied())
-            .filter(|address| !living.contains(address) && Some(*address) != own)
+            .filter(|address| !live.contains(address) && Some(*address) != own)
             .collect();
-        let count = if alone { TRIES } else { 1 };
+        let count = if alone { JOIN_FANOUT } else { 1 };
         let chosen: Vec<SocketAddr> = lost
             .choose_multiple(&mut self.rng, count)
             .copied()
             .collect();
         for to in chosen {
-            self.offer(to, false, actions);
+            self.send_digests(to, false, actions);
         }
     }
 
-    /// Takes the platform's list.
-    pub(super) fn list(&mut self, vms: &[Vm]) {
+    /// Stores the platform's list of VMs.
+    pub(super) fn set_roster(&mut self, vms: &[Vm]) {
         self.roster = vms
             .iter()
             .filter_map(|vm| vm.control.parse().ok())
             .collect();
         let own = self.me.member.control.parse().ok();
-        let living: HashSet<SocketAddr> = self.peers().map(|entry| entry.control).collect();
-        self.unmet = self
+        let live: HashSet<SocketAddr> = self.peers().map(|entry| entry.control).collect();
+        self.uncontacted = self
             .roster
             .iter()
             .copied()
-            .filter(|address| !living.contains(address) && Some(*address) != own)
+            .filter(|address| !live.contains(address) && Some(*address) != own)
             .collect();
-        // Not all at the same few at once.
-        self.unmet.shuffle(&mut self.rng);
+        // Shuffled, so that nodes do not all contact the same few at once.
+        self.uncontacted.shuffle(&mut self.rng);
     }
 
-    /// Introduces this node where the platform's list names a node that it does
-    /// not know.
+    /// Sends introductions to nodes on the platform's list that are not known
+    /// yet.
     ///
-    /// When a whole fleet restarts, nobody has anything to tell but itself, and
-    /// comparing tables of strangers takes many rounds; meanwhile each of them would
-    /// keep pools of its own. Introductions are outside
-    /// the budget of news and bounded by the list: two datagrams for each
-    /// address and reading.
-    pub(super) fn introduce(&mut self, actions: &mut Vec<Action>) {
-        let count = HELLOS.min(self.unmet.len());
-        for to in self.unmet.split_off(self.unmet.len() - count) {
-            actions.push(self.hello(to, false));
+    /// When a whole fleet restarts, each node has only its own record, and
+    /// converging by syncs takes many rounds, during which each node would
+    /// maintain pools of its own. Introductions are exempt from the gossip budget
+    /// and limited by the list: two datagrams for each address and reading.
+    pub(super) fn send_introductions(&mut self, actions: &mut Vec<Action>) {
+        let count = MAX_INTRODUCTIONS_PER_STEP.min(self.uncontacted.len());
+        for to in self.uncontacted.split_off(self.uncontacted.len() - count) {
+            actions.push(self.introduction(to, false));
         }
     }
 
-    /// This node's record, for whoever listens at `to`.
-    pub(super) fn hello(&self, to: SocketAddr, answer: bool) -> Action {
+    /// Returns an introduction with this node's record for the node at `to`.
+    pub(super) fn introduction(&self, to: SocketAddr, answer: bool) -> Action {
         let me = vec![Update::Record(self.me.clone())];
         self.action(to, Body::Hello { answer }, me)
     }
 
-    /// Sends what differs and, unless this was the answer, asks back.
-    pub(super) fn synchronise(
+    /// Sends the records that differ and, unless this is already the answer,
+    /// requests those of the peer.
+    pub(super) fn answer_sync(
         &mut self,
         now: Time,
         to: SocketAddr,
@@ -152,23 +152,24 @@
         if own == digests {
             return;
         }
-        // When many start at once, few have anything to tell. Comparing again
-        // soon, and with anybody, spreads the work over all that know some.
-        self.due.sync = self.due.sync.min(now + AGAIN);
+        // When many nodes start at once, only few have records to share. Another
+        // sync soon, with any peer, spreads the load over all nodes that know
+        // some.
+        self.due.sync = self.due.sync.min(now + RESYNC_DELAY);
         if !answer {
-            self.offer(to, true, actions);
+            self.send_digests(to, true, actions);
         }
         let start = self.rng.random_range(0..BUCKETS);
         let mut differing = [false; BUCKETS];
-        let pairs = own.chunks(WIDTH).zip(digests.chunks(WIDTH));
+        let pairs = own.chunks(DIGEST_BYTES).zip(digests.chunks(DIGEST_BYTES));
         for (differs, (ours, theirs)) in differing.iter_mut().zip(pairs) {
             *differs = ours != theirs;
         }
         self.send_buckets(to, start, &differing, actions);
     }
 
-    /// Sends the members of the buckets that differ, as far as the budget goes;
-    /// what is left differs the next time again.
+    /// Sends the records of the buckets that differ, as far as the budget
+    /// permits; the rest is sent by a later sync.
     fn send_buckets(
         &mut self,
         to: SocketAddr,
@@ -187,7 +188,7 @@
         let mut size = 0;
         for update in records.into_iter().map(|(_, r)| Update::Record(r)) {
             if size + update.size() > MAX_DATAGRAM_BYTES - MAX_HEAD_BYTES {
-                self.post(to, Body::Table, std::mem::take(&mut updates), actions);
+                self.send_exact(to, Body::Table, std::mem::take(&mut updates), actions);
                 size = 0;
             }
             if self.budget == 0 {
@@ -197,7 +198,7 @@
             updates.push(update);
         }
         if !updates.is_empty() {
-            self.post(to, Body::Table, updates, actions);
+            self.send_exact(to, Body::Table, updates, actions);
         }
     }
 
@@ -209,14 +210,14 @@
     }
 
     fn digests(&self) -> Vec<u8> {
-        let mut digests = vec![0_u8; BUCKETS * WIDTH];
+        let mut digests = vec![0_u8; BUCKETS * DIGEST_BYTES];
         for record in self.records() {
             if record.member.state == State::Dead {
                 continue;
             }
-            let place = bucket(&record.member.name) * WIDTH;
+            let place = bucket(&record.member.name) * DIGEST_BYTES;
             let digest = record.digest().to_be_bytes();
-            for (sum, byte) in digests[place..place + WIDTH].iter_mut().zip(digest) {
+            for (sum, byte) in digests[place..place + DIGEST_BYTES].iter_mut().zip(digest) {
                 *sum ^= byte;
             }
         }
--- a/src/member/probe.rs
+++ b/src/member/probe.rs
@@ -1,4 +1,4 @@
-//! Whose turn it is to be probed, and what became of the probe.
+//! Selects the member to probe and tracks the outstanding probe.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -10,30 +10,30 @@
 use crate::clock::Time;
 use crate::name::Name;
 
-/// The probe under way.
+/// An outstanding probe.
 #[derive(Clone, Debug)]
 pub struct Probe {
-    /// Who is probed.
+    /// Target of the probe.
     pub name: Name,
-    /// The number of the question.
+    /// Sequence number.
     pub seq: u32,
-    /// When it was sent.
-    pub at: Time,
-    /// True once others were asked to try.
-    pub helped: bool,
+    /// Time at which it was sent.
+    pub sent_at: Time,
+    /// True once indirect probes were requested.
+    pub escalated: bool,
 }
 
-/// A question asked for somebody else.
+/// A probe sent on behalf of another node.
 #[derive(Clone, Debug)]
 struct Relay {
-    asker: SocketAddr,
+    requester: SocketAddr,
     seq: u32,
     of: Name,
     at: Time,
 }
 
-/// The order of probing: everyone once in a shuffled round, so that the time
-/// until a dead member is probed is bounded, not only short on average.
+/// Probes every member once per shuffled round, which bounds the time until a
+/// dead member is probed instead of only keeping the average short.
 #[derive(Debug, Default)]
 pub struct Prober {
     round: Vec<Name>,
@@ -43,12 +43,12 @@
     seq: u32,
 }
 
-/// Most questions asked for others at a time.
+/// Maximum number of concurrent probes on behalf of other nodes.
 const MAX_RELAYS: usize = 64;
 
 impl Prober {
-    /// Whom to probe next, out of `members`.
-    pub fn next<R>(&mut self, members: &[Name], rng: &mut R) -> Option<Name>
+    /// Returns the next target out of `members`.
+    pub fn next_target<R>(&mut self, members: &[Name], rng: &mut R) -> Option<Name>
     where
         R: Rng,
     {
@@ -69,49 +69,50 @@
         None
     }
 
-    /// Puts a member at the head of the queue, because somebody says it's dead.
-    pub fn hurry(&mut self, name: &Name) {
+    /// Schedules a member for immediate probing, because another node reported it
+    /// as failed.
+    pub fn prioritise(&mut self, name: &Name) {
         if !self.urgent.contains(name) {
             self.urgent.push_back(name.clone());
         }
     }
 
-    /// A number for a question.
-    pub fn number(&mut self) -> u32 {
+    /// Returns a new sequence number.
+    pub fn next_seq(&mut self) -> u32 {
         self.seq = self.seq.wrapping_add(1);
         self.seq
     }
 
-    /// Starts a probe and returns its number.
-    pub fn begin(&mut self, now: Time, name: Name) -> u32 {
-        let seq = self.number();
+    /// Starts a probe and returns its sequence number.
+    pub fn start(&mut self, now: Time, name: Name) -> u32 {
+        let seq = self.next_seq();
         self.current = Some(Probe {
             name,
             seq,
-            at: now,
-            helped: false,
+            sent_at: now,
+            escalated: false,
         });
         seq
     }
 
-    /// The probe that has waited for `answer` and got no help yet; it is marked
-    /// as helped.
-    pub fn needs_help(&mut self, now: Time, answer: Duration) -> Option<Probe> {
+    /// Returns the probe that has been outstanding for `timeout` without indirect
+    /// probes, and marks it as having requested them.
+    pub fn escalate(&mut self, now: Time, timeout: Duration) -> Option<Probe> {
         let probe = self.current.as_mut()?;
-        if probe.helped || now.since(probe.at) < answer {
+        if probe.escalated || now.since(probe.sent_at) < timeout {
             return None;
         }
-        probe.helped = true;
+        probe.escalated = true;
         Some(probe.clone())
     }
 
-    /// Ends the probe under way, unanswered.
-    pub fn fail(&mut self) -> Option<Probe> {
+    /// Ends the outstanding probe without an answer.
+    pub fn finish(&mut self) -> Option<Probe> {
         self.current.take()
     }
 
-    /// Takes an answer; true when it ends the probe under way.
-    pub fn answer(&mut self, seq: u32, of: &Name) -> bool {
+    /// Handles an acknowledgement; returns true if it ends the outstanding probe.
+    pub fn acknowledge(&mut self, seq: u32, of: &Name) -> bool {
         let ends = self
             .current
             .as_ref()
@@ -122,15 +123,22 @@
         ends
     }
 
-    /// Remembers a question to be asked for `asker`; none when there are too
-    /// many, since the asker has other helpers.
-    pub fn relay(&mut self, now: Time, asker: SocketAddr, seq: u32, of: Name) -> Option<u32> {
+    /// Registers a probe on behalf of `requester` and returns its sequence
+    /// number; `None` if there are too many, since the requester also asks other
+    /// peers.
+    pub fn add_relay(
+        &mut self,
+        now: Time,
+        requester: SocketAddr,
+        seq: u32,
+        of: Name,
+    ) -> Option<u32> {
         if self.relays.len() >= MAX_RELAYS {
             return None;
         }
-        let own = self.number();
+        let own = self.next_seq();
         let relay = Relay {
-            asker,
+            requester,
             seq,
             of,
             at: now,
@@ -139,24 +147,25 @@
         Some(own)
     }
 
-    /// Who waits for this answer, and their number of the question.
-    pub fn relayed(&mut self, seq: u32, of: &Name) -> Option<(SocketAddr, u32)> {
+    /// Returns the requester of the probe that this acknowledgement answers, with
+    /// the requester's sequence number.
+    pub fn take_relay(&mut self, seq: u32, of: &Name) -> Option<(SocketAddr, u32)> {
         if self.relays.get(&seq).is_none_or(|relay| relay.of != *of) {
             return None;
         }
         self.relays
             .remove(&seq)
-            .map(|relay| (relay.asker, relay.seq))
+            .map(|relay| (relay.requester, relay.seq))
     }
 
-    /// Forgets questions for others that are older than `period`.
+    /// Drops probes on behalf of others that are older than `period`.
     pub fn expire(&mut self, now: Time, period: Duration) {
         self.relays.retain(|_, relay| now.since(relay.at) < period);
     }
 
-    /// Forgets every question, because this process was paused and the answers
-    /// may have been lost meanwhile.
-    pub fn forget(&mut self) {
+    /// Drops all outstanding probes, because this process was paused and answers
+    /// may have been lost.
+    pub fn reset(&mut self) {
         self.current = None;
         self.relays.clear();
     }
--- a/src/member/record.rs
+++ b/src/member/record.rs
@@ -1,6 +1,7 @@
-//! A member together with the process that stands behind its name.
+//! A member together with the identity of its process.
 //!
-//! docs/design/members.md tells why names, boots and incarnations are needed.
+//! docs/design/members.md explains why names, boot numbers and incarnations are
+//! needed.
 
 use std::fmt;
 use std::hash::Hasher;
@@ -17,12 +18,12 @@
 pub struct Record {
     /// The member.
     pub member: Member,
-    /// Drawn when its process started. It only tells two processes of the same
-    /// name apart, and breaks ties between them; it is never taken for a time.
+    /// Random number drawn at process start. It distinguishes two processes with
+    /// the same name and breaks ties between them; it is not a timestamp.
     pub boot: u64,
 }
 
-/// How far a state outweighs others of the same incarnation.
+/// Precedence of a state among records with the same incarnation.
 const fn rank(state: State) -> u8 {
     match state {
         State::Alive => 0,
@@ -33,19 +34,19 @@
 }
 
 impl Record {
-    /// True when this says something newer of the name than `known` does.
+    /// Returns true if this record is newer than `known`.
     ///
-    /// Frames arrive late, twice and out of order. A total order on what they
-    /// say makes every node end at the same record, whatever came when.
+    /// Frames may be delayed, duplicated and reordered. A total order on records
+    /// makes every node converge to the same one, whatever the order of arrival.
     pub fn supersedes(&self, known: &Self) -> bool {
         let order = |r: &Self| (r.member.incarnation, r.boot, rank(r.member.state));
         order(self) > order(known)
     }
 
-    /// Folds what two nodes must agree on into one number.
+    /// Returns a hash of the fields on which two nodes must agree.
     ///
-    /// Suspicion passes and the configuration version spreads by itself, so
-    /// neither counts.
+    /// Suspicions are temporary and the configuration version is disseminated
+    /// separately, so neither is included.
     pub fn digest(&self) -> u32 {
         let mut hash = Xxh3::new();
         hash.update(self.member.name.as_bytes());
@@ -56,15 +57,16 @@
         u32::try_from(folded >> 32).unwrap_or_default()
     }
 
-    /// A number that stands for the name and the process together.
+    /// Returns a hash that identifies the name and process.
     ///
-    /// Two of 330 members share one with a chance of one in 10^14, and then the
-    /// status of a change names the wrong one of them for a moment.
+    /// The probability of a collision among 330 members is one in 10^14. Its
+    /// effect would be that the status of a change briefly names the wrong
+    /// member.
     pub fn fingerprint(&self) -> u64 {
         xxh3_64_with_seed(self.member.name.as_bytes(), self.boot)
     }
 
-    /// Bytes that the record takes in a frame, at most.
+    /// Returns the maximum encoded size of the record in bytes.
     pub fn size(&self) -> usize {
         let member = &self.member;
         let text = [
--- a/src/member/shell.rs
+++ b/src/member/shell.rs
@@ -24,38 +24,40 @@
 use crate::table::{Roster, Vm};
 use crate::wire::control::{Error, Frame, MAX_DATAGRAM_BYTES, Note, decode, encode};
 
-/// How often the platform's list is read. With 330 nodes of some 250 bytes each
-/// that is 1.4 KB a second of the 13 that a node may spend on control.
-const ROSTER: Duration = Duration::from_secs(60);
-/// How soon it is read again after the first time: others may have come onto it
-/// since, and have read it before this node was on it.
-const ROSTER_SOON: Duration = Duration::from_millis(1_500);
-/// How often it is read while this node knows nobody.
-const ROSTER_ALONE: Duration = Duration::from_secs(1);
-/// Commands and events that may wait.
-const WAITING: usize = 1_024;
+/// Interval between reads of the platform's list. With 330 nodes of about 250
+/// bytes each, this takes 1.4 KB/s of the 13 KB/s that a node may use for control
+/// traffic.
+const ROSTER_INTERVAL: Duration = Duration::from_secs(60);
+/// Delay before the second read: nodes that registered after the first one may
+/// have read the list before this node was on it.
+const SECOND_ROSTER_DELAY: Duration = Duration::from_millis(1_500);
+/// Interval between reads while this node has no peers.
+const ALONE_ROSTER_INTERVAL: Duration = Duration::from_secs(1);
+/// Capacity of the command and event channels.
+const CHANNEL_CAPACITY: usize = 1_024;
 
-/// What a node starts with.
+/// Initial state of the membership of a node.
 #[derive(Debug)]
 pub struct Setup {
     /// This node; its control address is the one that the socket is bound to.
     pub me: Member,
-    /// Tells this process from others of the same name; draw it at random with
-    /// the wall clock's milliseconds in the upper bits.
+    /// Distinguishes this process from others of the same name; drawn at random
+    /// with the milliseconds of the wall clock in the upper bits.
     pub boot: u64,
-    /// Control addresses out of the settings, to try beside the platform's list.
+    /// Control addresses from the settings, contacted in addition to the
+    /// platform's list.
     pub seeds: Vec<SocketAddr>,
-    /// Intervals and bounds.
+    /// Intervals and limits.
     pub tuning: Tuning,
-    /// The process's clock.
+    /// Clock of the process.
     pub clock: Clock,
-    /// Where to publish the members.
+    /// Where the view of the members is published.
     pub view: Arc<Cell<View>>,
-    /// What to count.
+    /// Counters to update.
     pub counts: Counts,
 }
 
-/// What the rest of the process tells the fleet.
+/// A command from the rest of the process.
 #[derive(Clone, Debug)]
 enum Command {
     InForce(u64),
@@ -66,28 +68,29 @@
     Exit,
 }
 
-/// What the fleet tells the rest of the process.
+/// An event for the rest of the process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A newer configuration version was committed somewhere.
+    /// A newer configuration version was committed.
     Committed(u64),
-    /// A hint for everyone arrived.
+    /// A note was received.
     Note(Note),
-    /// A message for this node arrived.
+    /// A message for this node was received.
     Direct {
-        /// Who sent it.
+        /// Name of the sender.
         from: Name,
-        /// What it is about.
+        /// Topic of the message.
         topic: u8,
-        /// The message.
+        /// Content of the message.
         value: Bytes,
     },
-    /// Another process keeps this node's name; this one must leave.
+    /// Another process won the conflict over this node's name; this one must
+    /// leave.
     Replaced,
 }
 
-/// Tells the fleet things. It never waits: what does not fit is dropped and
-/// counted, as a lost datagram would be.
+/// Sends commands to membership. It never blocks: a command that does not fit
+/// into the channel is dropped and counted, like a lost datagram.
 #[derive(Clone, Debug)]
 pub struct Handle {
     commands: mpsc::Sender<Command>,
@@ -95,82 +98,83 @@
 }
 
 impl Handle {
-    /// This node has a configuration version in force.
+    /// Announces the configuration version that this node has in force.
     pub fn in_force(&self, version: u64) {
-        self.tell(Command::InForce(version));
+        self.enqueue(Command::InForce(version));
     }
 
-    /// A configuration version was committed.
+    /// Announces a committed configuration version.
     pub fn committed(&self, version: u64) {
-        self.tell(Command::Committed(version));
+        self.enqueue(Command::Committed(version));
     }
 
-    /// Spreads a hint to everyone.
+    /// Disseminates a note to all nodes.
     pub fn note(&self, note: Note) {
-        self.tell(Command::Note(note));
+        self.enqueue(Command::Note(note));
     }
 
     /// Sends one member a message of at most
-    /// [`MAX_VALUE_BYTES`](crate::wire::control::MAX_VALUE_BYTES) bytes; it may get lost.
+    /// [`MAX_VALUE_BYTES`](crate::wire::control::MAX_VALUE_BYTES) bytes; it may
+    /// get lost.
     pub fn direct(&self, to: Name, topic: u8, value: Bytes) {
-        self.tell(Command::Direct { to, topic, value });
+        self.enqueue(Command::Direct { to, topic, value });
     }
 
-    /// This node starts to leave.
+    /// Announces that this node is leaving.
     pub fn leave(&self) {
-        self.tell(Command::Leave);
+        self.enqueue(Command::Leave);
     }
 
-    /// This node ends; returns once it has said so.
+    /// Announces the exit of this node and returns once the datagrams were sent.
     pub async fn exit(&self) {
-        // An error means that it has ended already.
+        // An error means that membership has already ended.
         let _ = self.commands.send(Command::Exit).await;
         self.commands.closed().await;
     }
 
-    fn tell(&self, command: Command) {
+    fn enqueue(&self, command: Command) {
         if self.commands.try_send(command).is_err() {
             self.dropped.inc();
         }
     }
 }
 
-/// What membership counts.
+/// Counters of membership.
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
     /// Datagrams sent.
     pub sent: Counter,
-    /// Bytes sent, without the headers below them.
+    /// Bytes sent, without UDP and IP headers.
     pub sent_bytes: Counter,
     /// Datagrams received.
     pub received: Counter,
-    /// Bytes received, without the headers below them.
+    /// Bytes received, without UDP and IP headers.
     pub received_bytes: Counter,
-    /// Datagrams dropped as too long.
+    /// Datagrams dropped because they are too long.
     pub too_long: Counter,
-    /// Datagrams dropped as of another protocol version.
+    /// Datagrams dropped because of their protocol version.
     pub wrong_version: Counter,
-    /// Datagrams dropped as unreadable.
+    /// Datagrams dropped because they cannot be decoded.
     pub malformed: Counter,
-    /// Datagrams or records meant for another node, or impossible.
+    /// Datagrams or records that were misdirected or invalid.
     pub refused: Counter,
     /// Members that became suspect.
     pub suspected: Counter,
-    /// Members that were taken for dead.
+    /// Members that were declared dead.
     pub died: Counter,
-    /// Times that this node objected to being suspect or dead.
+    /// Refutations of this node's suspicion or death.
     pub refuted: Counter,
-    /// Times that this process noticed a pause of its own.
+    /// Detected pauses of this process.
     pub paused: Counter,
-    /// Messages dropped: above their budget, for nobody, or because a receiver
-    /// within this process was slow.
+    /// Messages dropped: over budget, for an unknown member, or because a
+    /// receiver within this process was slow.
     pub dropped: Counter,
-    /// Readings of the platform's list that failed.
+    /// Failed reads of the platform's list.
     pub roster_failed: Counter,
 }
 
 impl Counts {
-    /// Makes every counter known under `member_...`.
+    /// Registers every counter as `member_...`.
     pub fn register(&self, registry: &mut Registry) {
         let all = [
             ("sent", "Datagrams sent", &self.sent),
@@ -229,14 +233,14 @@
 }
 
 /// Starts membership on this thread and returns at once. The members are
-/// published in `setup.view`; it ends with [`Handle::exit`] or when another
-/// process keeps this node's name.
+/// published in `setup.view`; membership ends with [`Handle::exit`] or when
+/// another process wins a conflict over this node's name.
 pub fn start<R>(setup: Setup, socket: UdpSocket, roster: R) -> (Handle, mpsc::Receiver<Event>)
 where
     R: Roster + 'static,
 {
-    let (commands, inbox) = mpsc::channel(WAITING);
-    let (events, outbox) = mpsc::channel(WAITING);
+    let (commands, inbox) = mpsc::channel(CHANNEL_CAPACITY);
+    let (events, outbox) = mpsc::channel(CHANNEL_CAPACITY);
     let (vms, lists) = mpsc::channel(1);
     let now = setup.clock.now();
     let tick = setup.tuning.tick;
@@ -260,7 +264,7 @@
     (handle, outbox)
 }
 
-/// Reads the platform's list now and then; a failed reading changes nothing.
+/// Reads the platform's list periodically; a failed read changes nothing.
 async fn read_roster<R>(
     roster: R,
     lists: mpsc::Sender<Vec<Vm>>,
@@ -283,10 +287,10 @@
             }
         }
         let wait = match read {
-            0 => ROSTER_ALONE,
-            1 => ROSTER_SOON,
-            _ if alone.get() => ROSTER_ALONE,
-            _ => ROSTER,
+            0 => ALONE_ROSTER_INTERVAL,
+            1 => SECOND_ROSTER_DELAY,
+            _ if alone.get() => ALONE_ROSTER_INTERVAL,
+            _ => ROSTER_INTERVAL,
         };
         tokio::select! {
             () = sleep(wait) => {}
@@ -303,8 +307,8 @@
 ) {
     let mut ticks = interval(tick);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    // One byte more than allowed, to tell a datagram that is too long from one
-    // that just fits.
+    // One byte more than allowed, to distinguish a datagram that is too long from
+    // one that just fits.
     let mut buffer = vec![0_u8; MAX_DATAGRAM_BYTES + 1];
     loop {
         let input = tokio::select! {
@@ -342,7 +346,8 @@
 
 impl Shell {
     fn read(&self, got: io::Result<(usize, SocketAddr)>, buffer: &[u8]) -> Option<Input> {
-        // An error here is a peer's closed port, reported late; probes tell more.
+        // An error here is a delayed report of a peer's closed port; probes
+        // detect that.
         let (len, source) = got.ok()?;
         self.counts.received.inc();
         self.counts.received_bytes.inc_by(len as u64);
@@ -359,14 +364,15 @@
         }
     }
 
-    /// Steps the decision and acts on it; true when this node lost its name.
+    /// Steps the protocol and carries out its actions; returns true if this node
+    /// lost its name.
     async fn step(&mut self, input: Input) -> bool {
         let actions = self.gossip.step(self.clock.now(), input);
         let mut publish = false;
         let mut replaced = false;
         for action in actions {
             match action {
-                Action::Send { to, frame } => self.post(to, &frame).await,
+                Action::Send { to, frame } => self.send(to, &frame).await,
                 Action::Publish => publish = true,
                 Action::Committed(version) => self.emit(Event::Committed(version)),
                 Action::Note(note) => self.emit(Event::Note(note)),
@@ -403,12 +409,12 @@
         replaced
     }
 
-    async fn post(&self, to: SocketAddr, frame: &Frame) {
+    async fn send(&self, to: SocketAddr, frame: &Frame) {
         match encode(frame) {
             Ok(bytes) => {
                 self.counts.sent.inc();
                 self.counts.sent_bytes.inc_by(bytes.len() as u64);
-                // A datagram that can't be sent is as good as a lost one.
+                // A datagram that cannot be sent counts as lost.
                 let _ = self.socket.send_to(&bytes, to).await;
             }
             Err(error) => self.counts.refuse(error),
--- a/src/member/tuning.rs
+++ b/src/member/tuning.rs
@@ -1,46 +1,48 @@
-//! The intervals and bounds of membership, in one place.
+//! Intervals and limits of the membership protocol.
 //!
 //! docs/design/members.md gives the measurements behind the defaults.
 
 use std::time::Duration;
 
-/// Intervals and bounds; the same on every node.
+/// Intervals and limits; all nodes of a fleet must use the same values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tuning {
-    /// How often the shell steps the decision when nothing arrives.
+    /// Interval between steps of the protocol when no datagram arrives.
     pub tick: Duration,
-    /// How often news goes out while there is any.
+    /// Interval between gossip messages while updates are pending.
     pub gossip_interval: Duration,
-    /// How many peers get news each time.
+    /// Number of peers that each gossip round sends to.
     pub fanout: usize,
-    /// One member is probed in each period.
+    /// Interval between probes; each probes one member.
     pub probe_interval: Duration,
-    /// How long an answer may take before others are asked to try.
+    /// Time to wait for an answer before requesting indirect probes.
     pub probe_timeout: Duration,
-    /// How many others are asked to try.
+    /// Number of peers that are asked for an indirect probe.
     pub indirect_probes: usize,
-    /// Shortest time a suspected member has to say that it lives.
+    /// Minimum time for a suspect member to refute the suspicion.
     pub min_suspicion: Duration,
-    /// How often members are compared with a live peer.
+    /// Interval between anti-entropy syncs with a live peer.
     pub sync_interval: Duration,
-    /// How often an address that should be a member but isn't is tried.
+    /// Interval between attempts to contact an address that should belong to a
+    /// member but does not.
     pub reconnect_interval: Duration,
-    /// How often a node without peers tries to find one.
+    /// Interval between join attempts of a node without peers.
     pub join_interval: Duration,
-    /// How long a dead member is remembered and tried again. Regions lose each
-    /// other for an hour; whoever comes back within this time is found.
+    /// How long a dead member is kept and contacted again. Network partitions
+    /// between regions last up to an hour; a node that returns within this time
+    /// is rediscovered.
     pub dead_retention: Duration,
-    /// How long a note is remembered, so that its echoes are known.
+    /// How long a note is kept to detect duplicates.
     pub note_retention: Duration,
-    /// Bytes a second that news and comparisons may take. Probes are not held
-    /// back, since a probe that is late would look like a dead member.
+    /// Bytes per second for gossip and syncs. Probes are exempt, because a
+    /// delayed probe would make its target look dead.
     pub byte_rate: u64,
-    /// Bytes that may go out at once after a quiet time.
+    /// Burst of `byte_rate` in bytes.
     pub burst: u64,
-    /// Bytes a second that messages for single members may take, apart from
-    /// `rate`; what is above it is dropped.
+    /// Bytes per second for direct messages, separate from `byte_rate`; messages
+    /// above it are dropped.
     pub direct_rate: u64,
-    /// Bytes of such messages that may go out at once after a quiet time.
+    /// Burst of `direct_rate` in bytes.
     pub direct_burst: u64,
 }
 
@@ -67,36 +69,36 @@
     }
 }
 
-/// Times that a rumour is sent for each doubling of the fleet.
-const SENDS: u32 = 3;
+/// Transmissions of an update for each doubling of the fleet size.
+const TRANSMISSIONS_PER_DOUBLING: u32 = 3;
 
 impl Tuning {
-    /// How often one node sends the same news in a fleet of `members`.
+    /// Returns how often a node sends the same update in a fleet of `members`.
     pub fn retransmit_limit(&self, members: usize) -> u32 {
-        SENDS * doublings(members)
+        TRANSMISSIONS_PER_DOUBLING * doublings(members)
     }
 
-    /// How long a suspected member has in a fleet of `members`; it grows with
-    /// the number of rounds that the accusation and its answer need.
+    /// Returns the suspicion timeout in a fleet of `members`. It grows with the
+    /// number of gossip rounds that a suspicion and its refutation need.
     pub fn suspicion_timeout(&self, members: usize) -> Duration {
         self.min_suspicion
             .max(self.probe_interval * doublings(members))
     }
 
-    /// A step that comes later than this after the last one tells that this
-    /// process was paused.
+    /// Returns the gap between two steps above which this process is considered
+    /// to have been paused.
     pub fn pause_threshold(&self) -> Duration {
         self.tick * 5
     }
 
-    /// Without any datagram for this long, a node stops excusing its probes
-    /// with its own network.
+    /// Returns how long a node without any incoming datagram attributes failed
+    /// probes to its own network.
     pub fn isolation_timeout(&self, members: usize) -> Duration {
         self.suspicion_timeout(members) * 3
     }
 }
 
-/// How often a fleet of one must double to reach `members`, at least once.
+/// Returns how often a fleet of one must double to reach `members`, at least 1.
 fn doublings(members: usize) -> u32 {
     (usize::BITS - members.leading_zeros()).max(1)
 }
--- a/tests/config_follow/fleet.rs
+++ b/tests/config_follow/fleet.rs
@@ -219,7 +219,7 @@
                     self.send(at, Mail::Input(Input::Fetched { asked, result }));
                 }
                 Action::Query(peer) => {
-                    self.between(at, index(&peer), Mail::Ask { from: at, asked })
+                    self.between(at, index(&peer), Mail::Ask { from: at, asked });
                 }
                 Action::FetchFrom(peer) => {
                     self.between(at, index(&peer), Mail::FetchFrom { from: at });
--- a/tests/member/net.rs
+++ b/tests/member/net.rs
@@ -1,5 +1,5 @@
-//! A few members in one thread, with a seeded network between them in virtual
-//! time. It loses, doubles, delays and cuts; nothing else.
+//! Several members in one thread, connected by a seeded network in virtual time
+//! that loses, duplicates, delays and partitions.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -66,10 +66,10 @@
     pub now: Time,
     pub nodes: BTreeMap<SocketAddr, Node>,
     pub loss: f64,
-    pub doubling: f64,
-    /// Ordered pairs that can't reach each other.
+    pub duplication: f64,
+    /// Ordered pairs of addresses that cannot reach each other.
     pub cut: BTreeSet<(SocketAddr, SocketAddr)>,
-    /// What holds between two addresses besides `cut`.
+    /// Partitions: addresses in different groups cannot reach each other.
     pub groups: BTreeMap<SocketAddr, u8>,
     packets: BTreeMap<(Time, u64), Packet>,
     number: u64,
@@ -83,7 +83,7 @@
             now: Time::from_millis(3_600_000),
             nodes: BTreeMap::new(),
             loss: 0.0,
-            doubling: 0.0,
+            duplication: 0.0,
             cut: BTreeSet::new(),
             groups: BTreeMap::new(),
             packets: BTreeMap::new(),
@@ -93,19 +93,19 @@
         }
     }
 
-    /// A fleet whose nodes all know the first three as seeds, run until quiet.
+    /// A converged fleet whose nodes all have the first three as seeds.
     pub fn fleet(seed: u64, count: usize) -> Self {
         let mut net = Self::new(seed);
         for at in 0..count {
             net.start(at, &[0, 1, 2]);
         }
-        let whole = net.run_until(secs(120), |net| net.agreed(count));
-        assert!(whole.is_some(), "a fleet of {count} did not form");
+        let formed = net.run_until(secs(120), |net| net.converged(count));
+        assert!(formed.is_some(), "a fleet of {count} did not form");
         net.run(secs(30));
         net
     }
 
-    /// Starts node `at` as a new process, in place of one that ran there.
+    /// Starts node `at` as a new process, replacing one that ran there.
     pub fn start(&mut self, at: usize, seeds: &[usize]) {
         self.start_as(member(at), seeds);
     }
@@ -163,12 +163,13 @@
             }
         }
         for (to, bytes) in packets {
-            self.carry(place, to, &bytes);
+            self.deliver(place, to, &bytes);
         }
     }
 
-    /// Lets node `at` hear of `about`, as from an old process of `from`.
-    pub fn hear(&mut self, at: usize, from: Member, body: Body, about: Member) {
+    /// Delivers a record of `about` to node `at`, as from an old process of
+    /// `from`.
+    pub fn inject(&mut self, at: usize, from: Member, body: Body, about: Member) {
         let source = from.control.parse().unwrap();
         let head = Head {
             from: from.name,
@@ -189,14 +190,14 @@
         self.input(at, Input::Frame { source, frame });
     }
 
-    /// Puts bytes on the way, as the network would.
-    pub fn carry(&mut self, from: SocketAddr, to: SocketAddr, bytes: &[u8]) {
+    /// Delivers bytes through the simulated network.
+    pub fn deliver(&mut self, from: SocketAddr, to: SocketAddr, bytes: &[u8]) {
         let group = |place| self.groups.get(&place).copied().unwrap_or_default();
         if self.cut.contains(&(from, to)) || group(from) != group(to) {
             return;
         }
         let mut copies = 1;
-        if self.rng.random_bool(self.doubling) {
+        if self.rng.random_bool(self.duplication) {
             copies += 1;
         }
         for _ in 0..copies {
@@ -214,7 +215,7 @@
         }
     }
 
-    /// One tick of everybody and the datagrams that arrive until the next.
+    /// Steps all nodes once and delivers the datagrams due before the next tick.
     pub fn tick(&mut self) {
         let end = self.now + TICK;
         while let Some(entry) = self.packets.first_entry()
@@ -223,9 +224,9 @@
             let (at, _) = *entry.key();
             let packet = entry.remove();
             self.now = self.now.max(at);
-            let asleep = self.nodes.get(&packet.to).is_some_and(|node| node.paused);
-            if asleep {
-                // It waits in the socket's buffer.
+            let paused = self.nodes.get(&packet.to).is_some_and(|node| node.paused);
+            if paused {
+                // The datagram waits in the socket's buffer.
                 self.number += 1;
                 self.packets.insert((end, self.number), packet);
                 continue;
@@ -251,13 +252,13 @@
         }
     }
 
-    /// Runs until `done`; how long it took, or nothing if it took longer.
-    pub fn run_until<F>(&mut self, most: Duration, mut done: F) -> Option<Duration>
+    /// Runs until `done` and returns the elapsed time, or `None` after `limit`.
+    pub fn run_until<F>(&mut self, limit: Duration, mut done: F) -> Option<Duration>
     where
         F: FnMut(&mut Self) -> bool,
     {
         let start = self.now;
-        while self.now < start + most {
+        while self.now < start + limit {
             if done(self) {
                 return Some(self.now.since(start));
             }
@@ -266,13 +267,13 @@
         None
     }
 
-    /// How node `at` sees node `of`.
+    /// Returns the state of node `of` as seen by node `at`.
     pub fn sees(&self, at: usize, of: usize) -> Option<State> {
         let view = self.nodes[&address(at)].gossip.view();
         view.find(&member(of).name).map(|m| m.state)
     }
 
-    /// True when every running node sees `state` of node `of`.
+    /// Returns true if every running node sees `of` in `state`.
     pub fn all_see(&self, of: usize, state: State) -> bool {
         let name = member(of).name;
         self.nodes
@@ -281,8 +282,8 @@
             .all(|node| node.gossip.view().find(&name).map(|m| m.state) == Some(state))
     }
 
-    /// True when every node sees `count` live members and no suspect ones.
-    pub fn agreed(&self, count: usize) -> bool {
+    /// Returns true if every node sees `count` live members and no suspect ones.
+    pub fn converged(&self, count: usize) -> bool {
         self.nodes.values().all(|node| {
             let view = node.gossip.view();
             view.members
@@ -294,8 +295,8 @@
         })
     }
 
-    /// Members that became `state` in anybody's view since `since`.
-    pub fn became(&self, state: State, since: Time) -> Vec<(Time, SocketAddr, String)> {
+    /// Returns the changes to `state` in any node's view since `since`.
+    pub fn changed_to(&self, state: State, since: Time) -> Vec<(Time, SocketAddr, String)> {
         let mut found = Vec::new();
         for node in self.nodes.values() {
             for (at, action) in &node.actions {
--- a/tests/member_fault.rs
+++ b/tests/member_fault.rs
@@ -1,4 +1,4 @@
-//! What members make of crashes, pauses, cuts and restarts, in virtual time.
+//! Membership under crashes, pauses, partitions and restarts, in virtual time.
 
 #[path = "member/net.rs"]
 mod net;
@@ -12,17 +12,17 @@
 
 const COUNT: usize = 30;
 
-/// A VM is lost without a word. Until its peers notice, callers are sent to an
-/// address where nobody answers.
+/// A VM crashes. Until its peers detect it, callers are sent to an address where
+/// nothing answers.
 #[gtest]
-fn crash_is_noticed_by_all() {
+fn crash_is_detected_by_all() {
     for seed in 0..5 {
         let mut net = Net::fleet(seed, COUNT);
         let start = net.now;
         net.kill(7);
         let took = net.run_until(secs(60), |net| net.all_see(7, State::Dead));
         expect_that!(took, some(lt(secs(12))));
-        let died = net.became(State::Dead, start);
+        let died = net.changed_to(State::Dead, start);
         expect_that!(
             died.iter().all(|(_, _, of)| **of == *member(7).name),
             eq(true)
@@ -30,10 +30,10 @@
     }
 }
 
-/// A VM's process stands still for two seconds, as when its host migrates it.
-/// Taking it for dead would move its endpoints to others and back.
+/// A process is paused for two seconds, as during a live migration. Declaring it
+/// dead would move its endpoints to other nodes and back.
 #[gtest]
-fn pause_short_kills_nobody() {
+fn pause_short_causes_no_deaths() {
     for seed in 0..5 {
         let mut net = Net::fleet(seed, COUNT);
         let start = net.now;
@@ -41,38 +41,37 @@
         net.run(secs(2));
         net.pause(3, false);
         net.run(secs(30));
-        expect_that!(net.became(State::Dead, start), is_empty());
-        expect_that!(net.agreed(COUNT), eq(true));
+        expect_that!(net.changed_to(State::Dead, start), is_empty());
+        expect_that!(net.converged(COUNT), eq(true));
     }
 }
 
-/// A process is stopped for a minute in the middle of a probe. When it wakes,
-/// every answer it waited for is overdue; if it blamed the others, they would
-/// all have to object, and it must itself be taken back at once.
+/// A process is paused for a minute during a probe. When it resumes, every answer
+/// it waited for is overdue; it must not suspect the other members, which would
+/// all have to refute it, and must itself rejoin at once.
 #[gtest]
-fn pause_long_is_taken_back_and_blames_nobody() {
+fn pause_long_rejoins_without_suspicions() {
     for seed in 0..5 {
         let mut net = Net::fleet(seed, COUNT);
-        // The others are cut off for the last moment before the pause, so that
-        // a probe is surely under way.
+        // The node is partitioned for the last second before the pause, so that a
+        // probe is outstanding.
         net.groups.insert(address(3), 1);
         net.run(secs(1));
         net.pause(3, true);
         net.groups.clear();
         net.run(secs(60));
         expect_that!(net.all_see(3, State::Dead), eq(true));
-        let woke = net.now;
+        let resumed = net.now;
         net.pause(3, false);
-        let took = net.run_until(secs(60), |net| net.agreed(COUNT));
+        let took = net.run_until(secs(60), |net| net.converged(COUNT));
         expect_that!(took, some(lt(secs(5))));
-        let blamed = net.became(State::Suspect, woke);
-        expect_that!(blamed.len(), eq(0), "{blamed:?}");
+        let suspected = net.changed_to(State::Suspect, resumed);
+        expect_that!(suspected.len(), eq(0), "{suspected:?}");
     }
 }
 
-/// The regions lose each other for an hour and meet again. Each half has
-/// declared the other dead, and when they meet no caller may be told that
-/// either half is gone.
+/// Two regions are partitioned for an hour. Each half has declared the other one
+/// dead; when they reconnect, neither half may be reported as gone.
 #[gtest]
 fn partition_heals_without_new_deaths() {
     for (seed, lasts) in [(0, 3_600), (1, 300), (2, 300)] {
@@ -88,15 +87,15 @@
         net.run(secs(lasts));
         let healed = net.now;
         net.groups.clear();
-        let took = net.run_until(secs(300), |net| net.agreed(COUNT));
+        let took = net.run_until(secs(300), |net| net.converged(COUNT));
         expect_that!(took, some(lt(secs(30))));
         net.run(secs(60));
-        expect_that!(net.became(State::Dead, healed), is_empty());
+        expect_that!(net.changed_to(State::Dead, healed), is_empty());
     }
 }
 
-/// Two nodes can't reach each other while everyone else reaches both. Believing
-/// either would drop a healthy node for the whole fleet.
+/// Two nodes cannot reach each other while all others reach both. Trusting either
+/// would remove a healthy node for the whole fleet.
 #[gtest]
 fn cut_between_two_suspects_nobody() {
     for one_way in [true, false] {
@@ -107,15 +106,15 @@
             net.cut.insert((address(2), address(1)));
         }
         net.run(secs(300));
-        expect_that!(net.became(State::Suspect, start), is_empty());
+        expect_that!(net.changed_to(State::Suspect, start), is_empty());
     }
 }
 
-/// A node still sends but hears nothing, as behind a broken firewall. It is
-/// unusable and must go; it must not take healthy nodes with it by accusing
-/// each of them in turn.
+/// A node can send but not receive, as behind a misconfigured firewall. It must
+/// be declared dead, but must not make others remove healthy nodes by suspecting
+/// each of them.
 #[gtest]
-fn cut_inbound_drops_only_the_deaf() {
+fn cut_inbound_drops_only_the_affected_node() {
     let mut net = Net::fleet(5, COUNT);
     let start = net.now;
     for at in (0..COUNT).filter(|at| *at != 4) {
@@ -128,20 +127,20 @@
         let others = found.into_iter().filter(|(_, by, _)| *by != address(4));
         others.filter(|(_, _, of)| **of != *member(4).name).count()
     };
-    expect_that!(harmed(net.became(State::Suspect, start)), eq(0));
+    expect_that!(harmed(net.changed_to(State::Suspect, start)), eq(0));
     net.cut.clear();
     expect_that!(
-        net.run_until(secs(60), |net| net.agreed(COUNT)),
+        net.run_until(secs(60), |net| net.converged(COUNT)),
         some(lt(secs(30)))
     );
 }
 
-/// A process is restarted at the same address, its wall clock hours behind.
-/// The others know a higher incarnation of that name; unless the new process
-/// outbids it, they go on thinking it dead.
+/// A process is restarted at the same address, with a wall clock that is hours
+/// behind. The other nodes know a higher incarnation of its name; unless the new
+/// process exceeds it, they keep treating it as dead.
 #[gtest]
-fn restart_at_the_same_address_is_taken_back() {
-    for noticed in [true, false] {
+fn restart_at_the_same_address_rejoins() {
+    for detected in [true, false] {
         let mut net = Net::fleet(6, COUNT);
         for _ in 0..3 {
             net.pause(9, true);
@@ -152,20 +151,20 @@
         let known = net.node(9).gossip.me().incarnation;
         expect_that!(known, gt(3));
         net.kill(9);
-        if noticed {
+        if detected {
             net.run(secs(30));
         }
         net.start_boot(member(9), 1, &[0, 1, 2]);
-        let whole =
-            |net: &mut Net| net.agreed(COUNT) && net.node(9).gossip.me().incarnation > known;
-        expect_that!(net.run_until(secs(60), whole), some(lt(secs(8))));
+        let converged =
+            |net: &mut Net| net.converged(COUNT) && net.node(9).gossip.me().incarnation > known;
+        expect_that!(net.run_until(secs(60), converged), some(lt(secs(8))));
         net.run(secs(30));
-        expect_that!(net.agreed(COUNT), eq(true));
+        expect_that!(net.converged(COUNT), eq(true));
     }
 }
 
-/// A VM is replaced by one of the same name at another address. Whoever keeps
-/// the old address sends requests to a place where nobody listens.
+/// A VM is replaced by one with the same name and another address. Nodes that
+/// keep the old address send requests to where nothing listens.
 #[gtest]
 fn replaced_name_moves_to_its_new_address() {
     let mut net = Net::fleet(7, COUNT);
@@ -179,11 +178,11 @@
     });
     expect_that!(took, some(lt(secs(8))));
     net.run(secs(30));
-    expect_that!(net.agreed(COUNT), eq(true));
+    expect_that!(net.converged(COUNT), eq(true));
 }
 
-/// A VM is replaced by one of another name at the same address. Its answers to
-/// probes meant for the old name would keep the dead one alive for ever.
+/// A VM is replaced by one with another name and the same address. If it answered
+/// probes for the old name, the dead member would stay alive.
 #[gtest]
 fn replaced_address_does_not_answer_for_the_old_name() {
     let mut net = Net::fleet(8, COUNT);
@@ -203,29 +202,29 @@
     expect_that!(took, some(lt(secs(20))));
 }
 
-/// An operator starts two processes of one name. Outbidding each other for
-/// ever, they would keep the fleet busy and send callers now here, now there;
-/// one has to give in, and it must be the same one for everybody.
+/// Two processes with one name are started. If both kept increasing their
+/// incarnations, gossip would never settle and callers would alternate between
+/// them; one must yield, and all nodes must agree on which.
 #[gtest]
-fn namesakes_one_gives_in() {
+fn name_conflict_one_yields() {
     let mut net = Net::fleet(9, COUNT);
-    let mut twin = member(100);
-    twin.name = member(9).name;
-    net.start_boot(twin.clone(), u64::MAX, &[0, 1, 2]);
+    let mut duplicate = member(100);
+    duplicate.name = member(9).name;
+    net.start_boot(duplicate.clone(), u64::MAX, &[0, 1, 2]);
     net.run(secs(30));
-    let gave_in = |net: &Net, at: usize| {
+    let yielded = |net: &Net, at: usize| {
         let actions = &net.nodes[&address(at)].actions;
         actions
             .iter()
             .any(|(_, action)| *action == Action::Replaced)
     };
-    expect_that!(gave_in(&net, 9), eq(true));
-    expect_that!(gave_in(&net, 100), eq(false));
+    expect_that!(yielded(&net, 9), eq(true));
+    expect_that!(yielded(&net, 100), eq(false));
     net.kill(9);
     net.run(secs(10));
     let start = net.now;
     net.run(secs(60));
-    expect_that!(net.agreed(COUNT), eq(true));
+    expect_that!(net.converged(COUNT), eq(true));
     let refuted = |net: &Net| {
         let actions = &net.nodes[&address(100)].actions;
         actions
@@ -236,8 +235,8 @@
     expect_that!(refuted(&net), eq(0));
 }
 
-/// A whole availability zone goes, and the platform replaces its VMs by new
-/// ones elsewhere. Callers must find the new ones and none of the old.
+/// An availability zone is lost, and the platform replaces its VMs by new ones in
+/// other zones. Callers must find the new VMs and none of the old ones.
 #[gtest]
 fn zone_is_replaced() {
     let mut net = Net::fleet(10, COUNT);
@@ -248,14 +247,14 @@
         net.start(at, &[0, 1, 2]);
     }
     expect_that!(
-        net.run_until(secs(120), |net| net.agreed(COUNT)),
+        net.run_until(secs(120), |net| net.converged(COUNT)),
         some(lt(secs(30)))
     );
 }
 
-/// Every node restarts while the platform's list can't be read. Only the seeds
-/// of the settings are left, two of the three are gone, and their remembered
-/// records are of processes that no longer are.
+/// Every node restarts while the platform's list is unavailable. Only the seeds
+/// from the settings are left, two of the three are gone, and the stored records
+/// belong to processes that no longer exist.
 #[gtest]
 fn restart_of_all_without_the_list() {
     let mut net = Net::fleet(11, COUNT);
@@ -267,14 +266,14 @@
         net.start(at, &[0, 1, 2]);
     }
     expect_that!(
-        net.run_until(secs(120), |net| net.agreed(COUNT - 2)),
+        net.run_until(secs(120), |net| net.converged(COUNT - 2)),
         some(lt(secs(20)))
     );
 }
 
-/// Every node of a large fleet is killed at the same moment and starts again.
-/// Until they know each other, each takes itself for the one that admits work;
-/// endpoints get several times what they have slots for, and callers wait.
+/// Every node of a large fleet is restarted at the same moment. Until the nodes
+/// have discovered each other, each considers itself the one that admits work;
+/// endpoints get several times as many requests as they have slots.
 #[gtest]
 fn restart_of_all_with_the_list() {
     const MANY: usize = 150;
@@ -288,32 +287,32 @@
         for at in 0..MANY {
             net.input(at, Input::Roster(list.clone()));
         }
-        let formed = net.run_until(secs(60), |net| net.agreed(MANY));
+        let formed = net.run_until(secs(60), |net| net.converged(MANY));
         expect_that!(formed, some(lt(secs(2))));
     }
 }
 
-/// A list that a node read before another one came onto it names only one of
-/// the two to the other. Both must know each other all the same.
+/// A node read the list before another one was registered, so only one of the two
+/// sees the other on it. Both must discover each other.
 #[gtest]
 fn hello_is_answered() {
     let mut net = Net::new(5);
     net.start(0, &[]);
     net.start(1, &[]);
     net.input(1, Input::Roster(vec![member(0).vm()]));
-    let formed = net.run_until(secs(5), |net| net.agreed(2));
+    let formed = net.run_until(secs(5), |net| net.converged(2));
     expect_that!(formed, some(lt(secs(1))));
 }
 
-/// The nodes restart one after the other, each time all the seeds' addresses
-/// are gone for the newcomers; those who stayed remember where others were.
+/// The nodes restart one after the other, and no seed address is left for the
+/// last one; nodes that kept running still have its address.
 #[gtest]
-fn restart_finds_those_who_remember() {
+fn restart_is_found_by_running_nodes() {
     let mut net = Net::fleet(12, 6);
     net.groups.insert(address(5), 1);
     net.run(secs(60));
     expect_that!(net.sees(0, 5), some(eq(State::Dead)));
-    // The one that was cut off has no seed left that lives.
+    // None of the seeds of the partitioned node is still running.
     for at in 0..3 {
         net.kill(at);
     }
@@ -322,34 +321,34 @@
     expect_that!(found, some(lt(secs(15))));
 }
 
-/// The network loses one datagram in ten, doubles as many and mixes their
-/// order. Nobody is dead, so nobody may be taken for dead.
+/// The network loses one datagram in ten, duplicates as many and reorders them.
+/// No node is dead, so none may be declared dead.
 #[gtest]
-fn loss_and_doubling_kill_nobody() {
+fn loss_and_duplication_cause_no_deaths() {
     for seed in 0..3 {
         let mut net = Net::fleet(seed, COUNT);
         net.loss = 0.1;
-        net.doubling = 0.1;
+        net.duplication = 0.1;
         let start = net.now;
         net.run(secs(600));
-        expect_that!(net.became(State::Dead, start), is_empty());
-        let by_accuser: std::collections::BTreeSet<_> = net
-            .became(State::Suspect, start)
+        expect_that!(net.changed_to(State::Dead, start), is_empty());
+        let suspected: std::collections::BTreeSet<_> = net
+            .changed_to(State::Suspect, start)
             .into_iter()
             .map(|(at, _, of)| (at.as_millis() / 10_000, of))
             .collect();
-        // 30 nodes probe 18,000 times. A probe and its answer get through in
-        // 0.81 of cases, a helper's four datagrams in 0.656; all four ways fail
-        // in 0.19 * 0.344^3 of cases, which is 139 times.
-        expect_that!(by_accuser.len(), lt(139));
+        // 30 nodes probe 18,000 times. A probe and its answer get through in 0.81
+        // of cases, the four datagrams of an indirect probe in 0.656; all four
+        // ways fail in 0.19 * 0.344^3 of cases, which is 139 times.
+        expect_that!(suspected.len(), lt(139));
         net.loss = 0.0;
         net.run(secs(30));
-        expect_that!(net.agreed(COUNT), eq(true));
+        expect_that!(net.converged(COUNT), eq(true));
     }
 }
 
-/// A node that is leaving grows slow, so that probes of it fail. If it were
-/// only suspected, it would count as usable again and get new work.
+/// A leaving node becomes slow, so that probes of it fail. If it were marked as
+/// suspect, it would count as usable again and get new work.
 #[gtest]
 fn leaving_member_is_never_usable_again() {
     let mut net = Net::fleet(13, COUNT);
@@ -369,13 +368,16 @@
         some(lt(secs(15)))
     );
     let usable = [State::Alive, State::Suspect];
-    let back = usable.iter().flat_map(|state| net.became(*state, start));
+    let back = usable
+        .iter()
+        .flat_map(|state| net.changed_to(*state, start));
     expect_that!(back.count(), eq(0));
 }
 
-/// A node ends in an orderly way. Nobody should have to find out by probing.
+/// A node exits in an orderly way. Other nodes must not have to detect it by
+/// probing.
 #[gtest]
-fn exit_is_known_at_once() {
+fn exit_propagates_at_once() {
     let mut net = Net::fleet(14, COUNT);
     net.input(6, Input::Leave);
     net.run(secs(3));
@@ -385,9 +387,9 @@
     expect_that!(took, some(lt(secs(3))));
 }
 
-/// Nodes forget the dead after some hours, not all at the same moment. If those
-/// who still remember told those who never knew, a dead name would go from
-/// node to node for ever, and its address be tried for ever.
+/// Nodes drop dead members after some hours, at different times. If nodes that
+/// still have them reintroduced them to others, a dead member would circulate
+/// indefinitely and its address would be contacted for ever.
 #[gtest]
 fn dead_are_forgotten_by_all() {
     let mut net = Net::fleet(15, 6);
@@ -401,22 +403,22 @@
     }
     let mut gone = member(5);
     gone.state = State::Dead;
-    net.hear(0, member(1), Body::Table, gone);
+    net.inject(0, member(1), Body::Table, gone);
     expect_that!(net.sees(0, 5), none());
 }
 
-/// A record with an incarnation that nobody can have counted up to arrives, from
-/// a faulty process. Its owner could never outbid it.
+/// A faulty process sends a record with an implausibly high incarnation. Its
+/// owner could never refute it.
 #[gtest]
-fn incarnation_beyond_counting_is_refused() {
+fn incarnation_above_maximum_is_refused() {
     let mut net = Net::fleet(16, 6);
     let mut bad = member(5);
     bad.incarnation = u64::MAX;
     bad.state = State::Dead;
     for at in 0..6 {
-        net.hear(at, member(4), Body::Gossip, bad.clone());
+        net.inject(at, member(4), Body::Gossip, bad.clone());
     }
     net.run(secs(30));
-    expect_that!(net.agreed(6), eq(true));
+    expect_that!(net.converged(6), eq(true));
     expect_that!(net.node(5).gossip.me().incarnation, eq(1));
 }
--- a/tests/member_gossip.rs
+++ b/tests/member_gossip.rs
@@ -1,4 +1,4 @@
-//! Membership in virtual time: how it forms and what it costs.
+//! Membership in virtual time: convergence and traffic.
 
 #[path = "member/net.rs"]
 mod net;
@@ -13,8 +13,11 @@
 fn fleet_forms_from_seeds() {
     for count in [3, 12, 48] {
         let net = Net::fleet(1, count);
-        expect_that!(net.agreed(count), eq(true));
-        expect_that!(net.became(State::Suspect, net.now - secs(60)), is_empty());
+        expect_that!(net.converged(count), eq(true));
+        expect_that!(
+            net.changed_to(State::Suspect, net.now - secs(60)),
+            is_empty()
+        );
     }
 }
 
@@ -38,7 +41,8 @@
 fn committed_is_known_everywhere() {
     for seed in 0..5 {
         let mut net = Net::fleet(seed, 48);
-        // Nobody has it in force yet; the news alone must be fast enough.
+        // No node has it in force yet; the announcement alone must be fast
+        // enough.
         net.input(6, Input::Committed(10));
         let took = net.run_until(secs(13), |net| {
             net.nodes.values().all(|node| node.gossip.committed() == 10)
@@ -50,7 +54,7 @@
 #[gtest]
 fn note_reaches_each_once() {
     let mut net = Net::fleet(3, 48);
-    net.doubling = 0.3;
+    net.duplication = 0.3;
     let note = Note {
         topic: 1,
         key: "job-1".into(),
@@ -61,18 +65,18 @@
     net.run(secs(20));
     for node in net.nodes.values() {
         let notes = node.actions.iter();
-        let heard = notes
+        let received = notes
             .filter(|(_, a)| *a == Action::Note(note.clone()))
             .count();
         let own = usize::from(node.address == net::address(0));
-        expect_that!(heard, eq(1 - own));
+        expect_that!(received, eq(1 - own));
     }
 }
 
-/// A thousand organisations are busy and every node reports each of them to
-/// its owner. The reports must not crowd out the news of a dead node.
+/// Every node reports a thousand organisations to their owners. The reports must
+/// not delay the dissemination of a node's death.
 #[gtest]
-fn direct_does_not_crowd_out_news() {
+fn direct_does_not_delay_gossip() {
     let mut net = Net::fleet(4, 12);
     let before = net.node(0).sent.bytes;
     net.kill(11);
@@ -91,6 +95,6 @@
     }
     expect_that!(seconds, lt(12));
     let spent = net.node(0).sent.bytes - before;
-    // 7 kB/s and what was saved up for messages, 5 kB/s for news, and probes.
+    // 7 kB/s and the burst for direct messages, 5 kB/s for gossip, and probes.
     expect_that!(spent, lt(28_000 + seconds * 13_000));
 }
--- a/tests/member_process.rs
+++ b/tests/member_process.rs
@@ -1,4 +1,4 @@
-//! Members as real processes that are killed, stopped and restarted.
+//! Membership of real processes that are killed, stopped and restarted.
 
 use googletest::prelude::*;
 use rustix::process::Signal;
@@ -7,7 +7,7 @@
 #[path = "support/env.rs"]
 mod env;
 
-/// How `node` sees the member of that name: its state and incarnation.
+/// Returns the state and incarnation of a member as seen by `node`.
 fn sees(fleet: &env::Fleet, node: usize, name: &str) -> Option<(String, u64)> {
     let answer = fleet.operator(node, "ListMembers", &json!({})).ok()?;
     let members = answer["members"].as_array()?;
@@ -31,8 +31,8 @@
     fleet
 }
 
-/// A VM is lost in the middle of its work. The others must notice by themselves,
-/// or callers go on being sent to an address where nobody answers.
+/// A VM crashes during its work. The other nodes must detect it by themselves, or
+/// callers keep being sent to an address where nothing answers.
 #[gtest]
 fn killed_node_is_dead_for_the_others() {
     let mut fleet = three();
@@ -42,7 +42,8 @@
             is(&fleet, node, "node-2", "MEMBER_STATE_DEAD")
         });
     }
-    // A new process of that name is taken back, whatever was known of the old.
+    // A new process with that name rejoins, whatever the others stored about the
+    // old one.
     let again = fleet.start_node("node-2", "zone-2", "127.0.0.1:0", "");
     fleet.nodes[2] = again;
     for node in 0..2 {
@@ -54,11 +55,11 @@
     expect_that!(incarnation, gt(1));
 }
 
-/// A VM's host stops it for long and lets it run again. It is dead for the
-/// others meanwhile; awake, it must be back by itself, and must not have taken
-/// the others for dead because it slept.
+/// A VM is suspended for a long time and resumed. The other nodes declare it dead
+/// meanwhile; after it resumes it must rejoin by itself, without having declared
+/// the others dead.
 #[gtest]
-fn stopped_node_comes_back_and_blames_nobody() {
+fn stopped_node_rejoins_without_suspicions() {
     let fleet = three();
     let before = sees(&fleet, 0, "node-0").unwrap();
     fleet.nodes[2].signal(Signal::STOP);
@@ -75,6 +76,7 @@
         let name = format!("node-{node}");
         expect_that!(is(&fleet, 2, &name, "MEMBER_STATE_ALIVE"), eq(true));
     }
-    // Nobody was accused, so nobody had to object with a higher incarnation.
+    // No member was suspected, so none had to refute it with a higher
+    // incarnation.
     expect_that!(sees(&fleet, 0, "node-0").unwrap(), eq(&before));
 }
--- a/tests/member_shell.rs
+++ b/tests/member_shell.rs
@@ -1,4 +1,4 @@
-//! Members on real sockets of loopback.
+//! Membership on real loopback sockets.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -87,7 +87,7 @@
     };
     timeout(Duration::from_secs(60), all)
         .await
-        .expect("the condition did not come about");
+        .expect("the condition was not met within 60 s");
 }
 
 fn usable(node: &Node) -> usize {
@@ -100,7 +100,7 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn start_three_nodes_see_each_other() {
+async fn start_three_nodes_discover_each_other() {
     let a = node("a", Vec::new(), List::default()).await;
     let b = node("b", vec![a.control], List::default()).await;
     let c = node("c", vec![a.control], List::default()).await;
@@ -135,7 +135,7 @@
 
 #[gtest]
 #[actix_rt::test]
-async fn handle_tells_the_others() {
+async fn handle_reaches_other_nodes() {
     let a = node("a", Vec::new(), List::default()).await;
     let mut b = node("b", vec![a.control], List::default()).await;
     wait(|| usable(&a) == 2 && usable(&b) == 2).await;
@@ -170,11 +170,11 @@
     );
 }
 
-/// Whatever else arrives at a node's control address, by mistake or malice, is
-/// dropped and counted by its kind, and the node goes on as before.
+/// Invalid datagrams at a node's control address are dropped and counted by kind,
+/// and do not affect the node.
 #[gtest]
 #[actix_rt::test]
-async fn receive_rubbish_counts_and_changes_nothing() {
+async fn receive_invalid_counts_and_changes_nothing() {
     let a = node("a", Vec::new(), List::default()).await;
     let before = a.view.load();
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
--- a/tests/member_view.rs
+++ b/tests/member_view.rs
@@ -1,4 +1,4 @@
-//! What a node's view of the members says of them.
+//! Queries on a node's view of the members.
 
 #[path = "support/member.rs"]
 mod support;
@@ -24,8 +24,8 @@
 
 #[gtest]
 fn owners_by_state() {
-    // A job stays with a process that is only suspected or still hands its work
-    // on; two nodes would run its items otherwise.
+    // A job stays with a process that is suspect or still hands its work over;
+    // otherwise two nodes would run its items.
     let members = vec![
         member("alive", "127.0.0.1:11", 1, State::Alive),
         member("dead", "127.0.0.1:12", 1, State::Dead),
@@ -40,8 +40,8 @@
 
 #[gtest]
 fn owners_replaced_process() {
-    // A process is killed and started again at once, before anybody noticed that
-    // the earlier one is gone. Its jobs would wait until the suspicion has run out.
+    // A process is killed and restarted before its failure is detected. Its jobs
+    // would otherwise wait until the suspicion times out.
     let members = vec![
         member("a.1", "127.0.0.1:11", 1, State::Alive),
         member("a.2", "127.0.0.1:11", 2, State::Alive),
@@ -52,8 +52,8 @@
 
 #[gtest]
 fn owners_replaced_by_one_that_is_gone() {
-    // The later process is gone as well, and news of the earlier one are newer.
-    // Then the later one says nothing about it.
+    // The later process is dead too, and the record of the earlier one is newer.
+    // The later one then does not count as a replacement.
     let members = vec![
         member("a.1", "127.0.0.1:11", 1, State::Alive),
         member("a.2", "127.0.0.1:11", 2, State::Dead),
--- a/tests/support/member.rs
+++ b/tests/support/member.rs
@@ -1,9 +1,9 @@
-//! Members as tests need them.
+//! Members for tests.
 
 use auburnspoke::member::{Member, State};
 
-/// A strong member of the zone `z0` that answers. A test names what it is about:
-/// `Member { state: State::Dead, ..member("a") }`.
+/// Returns a live member of the zone `z0` with ample capacity. Tests override the
+/// relevant fields: `Member { state: State::Dead, ..member("a") }`.
 pub fn member(name: &str) -> Member {
     Member {
         name: name.into(),
