--- a/benches/route.rs
+++ b/benches/route.rs
@@ -25,7 +25,7 @@
         zone: zone(at).into(),
         services: vec!["notes".into()],
     }));
-    router.weigh("notes", 80);
+    router.set_latency_weight("notes", 80);
     router
 }
 
--- a/src/batch/run.rs
+++ b/src/batch/run.rs
@@ -14,9 +14,9 @@
 use super::work::{Slot, Work};
 use crate::connect;
 use crate::event;
-use crate::permit::{Permit, Want};
+use crate::permit::{Claim, Permit};
 use crate::platform::forward::{self, Forward, Verdict};
-use crate::pool::message::{Ask, Class, End};
+use crate::pool::message::{Class, End, Requirements};
 use crate::quarantine::evidence::Standing;
 use crate::quarantine::loss::Finding;
 use crate::quarantine::ward::Run;
@@ -61,13 +61,13 @@
         Standing::Clear => false,
     };
     let now = jobs.now();
-    let want = Want {
+    let want = Claim {
         service,
-        ask: Ask {
+        requirements: Requirements {
             class: Class::Batch,
             priority: u8::MAX,
             zone: jobs.setup.zone.clone(),
-            patience: QUEUE_TIMEOUT,
+            max_wait: QUEUE_TIMEOUT,
             due: work.urgency(now, item, &jobs.estimator).since(now),
             prefix: 0,
             organisation: work.organisation_hash(),
@@ -194,7 +194,7 @@
                 if !append(work, item, &events) {
                     return Exit::Interrupted(End::Error, "event_order");
                 }
-                permit.begun();
+                permit.mark_answering();
             }
             Err(_) => return Exit::Interrupted(End::Error, "event_size"),
         }
--- a/src/batch/shell.rs
+++ b/src/batch/shell.rs
@@ -25,7 +25,7 @@
 use crate::leave::Phase;
 use crate::member::View;
 use crate::name::Name;
-use crate::permit::Desk;
+use crate::permit::Broker;
 use crate::platform::store::Client;
 use crate::quarantine::Ward;
 use crate::snapshot::Cell;
@@ -62,7 +62,7 @@
     /// Retention period of results.
     pub result_retention: Duration,
     /// Admission control.
-    pub desk: Rc<Desk>,
+    pub desk: Rc<Broker>,
     /// The quarantine for requests that crash endpoints.
     pub ward: Rc<Ward>,
     /// Configuration and endpoints.
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -12,10 +12,10 @@
 use crate::outcome::Refusal;
 use crate::request::Class;
 
-pub mod board;
 pub mod handle;
 mod health;
 mod line;
+pub mod loads;
 mod pace;
 mod policy;
 mod queue;
--- a/src/dispatch/handle.rs
+++ b/src/dispatch/handle.rs
@@ -6,7 +6,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::Load;
-use super::board::{Board, Loads};
+use super::loads::{Loads, Registry};
 use crate::name::Name;
 use crate::outcome::{Outcome, Reason, Refusal};
 use crate::request::{Answer, Piece, Request};
@@ -44,33 +44,33 @@
 pub struct Handle {
     threads: Arc<[mpsc::Sender<Submit>]>,
     /// What the dispatchers publish of themselves.
-    pub board: Board,
+    pub loads: Registry,
 }
 
 /// One shell's end of a [`Handle`].
 #[derive(Debug)]
-pub struct Desk {
+pub struct Channels {
     /// Requests for the dispatchers of this thread.
     pub submits: mpsc::Receiver<Submit>,
     /// Where the shell publishes their loads.
-    pub post: Arc<Cell<Loads>>,
+    pub loads: Arc<Cell<Loads>>,
 }
 
 impl Handle {
     /// A handle to `threads` shells, and each shell's end of it.
-    pub fn new(threads: usize) -> (Self, Vec<Desk>) {
+    pub fn new(threads: usize) -> (Self, Vec<Channels>) {
         let threads = threads.max(1);
-        let board = Board::new(threads);
+        let loads = Registry::new(threads);
         let mut senders = Vec::new();
-        let mut desks = Vec::new();
+        let mut channels = Vec::new();
         for thread in 0..threads {
             let (sender, submits) = mpsc::channel(COMMANDS);
             senders.push(sender);
-            let post = board.post(thread);
-            desks.push(Desk { submits, post });
+            let loads = loads.cell(thread);
+            channels.push(Channels { submits, loads });
         }
         let threads = senders.into();
-        (Self { threads, board }, desks)
+        (Self { threads, loads }, channels)
     }
 
     /// Hands a request to the dispatcher of `endpoint`, which is always on the
--- a/src/dispatch/board.rs
+++ b/src/dispatch/loads.rs
@@ -12,11 +12,11 @@
 
 /// Where the shells publish and others read, without a lock.
 #[derive(Clone, Debug)]
-pub struct Board {
+pub struct Registry {
     threads: Arc<[Arc<Cell<Loads>>]>,
 }
 
-impl Board {
+impl Registry {
     /// A board for that many shells.
     pub fn new(threads: usize) -> Self {
         let cells = (0..threads).map(|_| Arc::new(Cell::new(Loads::new())));
@@ -26,7 +26,7 @@
     }
 
     /// Where the shell of that thread publishes.
-    pub fn post(&self, thread: usize) -> Arc<Cell<Loads>> {
+    pub fn cell(&self, thread: usize) -> Arc<Cell<Loads>> {
         Arc::clone(&self.threads[thread])
     }
 
--- a/src/dispatch/shell.rs
+++ b/src/dispatch/shell.rs
@@ -13,8 +13,8 @@
 use actix_rt::task::JoinHandle;
 use tokio::sync::{Notify, mpsc};
 
-use super::board::Loads;
 use super::handle::{Event, Submit};
+use super::loads::Loads;
 use super::run::{self, Progress};
 use super::{Action, End, Id, Input, Load, Offer, Queue, Setting};
 use crate::clock::{Clock, Time, unix_millis};
@@ -54,7 +54,7 @@
     state: RefCell<State>,
     /// Wakes the timer when an earlier time became due.
     changed: Notify,
-    post: Arc<snapshot::Cell<Loads>>,
+    loads: Arc<snapshot::Cell<Loads>>,
     published: Cell<Time>,
 }
 
@@ -100,7 +100,7 @@
 impl Shell {
     /// A shell without dispatchers; they appear with the first request for
     /// their endpoint.
-    pub fn new(shared: &Shared, post: Arc<snapshot::Cell<Loads>>) -> Rc<Self> {
+    pub fn new(shared: &Shared, loads: Arc<snapshot::Cell<Loads>>) -> Rc<Self> {
         Rc::new(Self {
             clock: shared.clock,
             force: Arc::clone(&shared.force),
@@ -110,7 +110,7 @@
             client: crate::http::client(shared.timeouts.connect),
             state: RefCell::default(),
             changed: Notify::new(),
-            post,
+            loads,
             published: Cell::new(Time::ZERO),
         })
     }
@@ -142,7 +142,7 @@
         let state = self.state.borrow();
         let loads = state.stands.iter();
         let loads = loads.map(|(name, stand)| (name.clone(), stand.queue.load()));
-        self.post.publish(loads.collect());
+        self.loads.publish(loads.collect());
     }
 
     fn due(&self) -> Option<Time> {
--- a/src/edge.rs
+++ b/src/edge.rs
@@ -31,7 +31,7 @@
 use crate::member::tuning::Tuning;
 use crate::member::{Member, State, View};
 use crate::name::Name;
-use crate::permit::{self, Desk};
+use crate::permit::{self, Broker};
 use crate::platform::settings;
 use crate::platform::store::Client;
 use crate::platform::{config, endpoint};
@@ -372,7 +372,7 @@
 impl Traffic {
     fn run(self) -> Result<()> {
         let shared = self.shared;
-        let desk = Desk::new(permit::Setup {
+        let desk = Broker::new(permit::Setup {
             socket: tokio::net::UdpSocket::from_std(self.desk)?,
             pool_port: shared.site.listen.pool.port(),
             boot: shared.boot,
--- a/src/edge/node.rs
+++ b/src/edge/node.rs
@@ -11,7 +11,7 @@
 use crate::leave::Phase;
 use crate::member::View;
 use crate::name::Name;
-use crate::permit::Desk;
+use crate::permit::Broker;
 use crate::quarantine::Ward;
 use crate::site::Site;
 use crate::snapshot::Cell;
@@ -31,7 +31,7 @@
     /// The node's lifecycle phase.
     pub phase: Arc<Cell<Phase>>,
     /// Admission control.
-    pub desk: Rc<Desk>,
+    pub desk: Rc<Broker>,
     /// The metrics.
     pub count: Count,
     /// The quarantine.
--- a/src/edge/relay.rs
+++ b/src/edge/relay.rs
@@ -354,7 +354,7 @@
                 continue;
             };
             if std::mem::take(&mut first) {
-                permit.begun();
+                permit.mark_answering();
             }
             let bytes = match &mut splitter {
                 None => {
--- a/src/edge/relay/admit.rs
+++ b/src/edge/relay/admit.rs
@@ -12,9 +12,9 @@
 use crate::clock::Time;
 use crate::event;
 use crate::permit::count::{Denial, Limited};
-use crate::permit::{Permit, Refusal, Want};
+use crate::permit::{Claim, Permit, Refusal};
 use crate::platform::call;
-use crate::pool::message::{Ask, Class};
+use crate::pool::message::{Class, Requirements};
 use crate::quarantine::evidence::Standing;
 
 /// Why a request was not admitted.
@@ -29,7 +29,7 @@
     /// Acquires a slot, and counts the request once against its organisation's rate limit. Both
     /// run concurrently, except for an organisation that was over its limit a moment ago, which
     /// must pass the limit first.
-    pub(super) async fn admit(&mut self, want: Want) -> Result<Permit, Denied> {
+    pub(super) async fn admit(&mut self, want: Claim) -> Result<Permit, Denied> {
         let desk = Rc::clone(&self.node.desk);
         let limited = self.limited().filter(|_| self.token.is_none());
         let Some(limited) = limited else {
@@ -62,7 +62,7 @@
         }
     }
 
-    pub(super) fn want(&self, now: Time, left: Duration) -> Want {
+    pub(super) fn want(&self, now: Time, left: Duration) -> Claim {
         let goal = self.call.arrived + self.call.route.goal;
         // A stream that has begun must be completed, so it may wait until the deadline. Any
         // other request is rejected with a retry delay once its latency goal can't be met.
@@ -71,13 +71,13 @@
         } else {
             goal.since(now).saturating_sub(START_RESERVE)
         };
-        Want {
+        Claim {
             service: self.call.service.clone(),
-            ask: Ask {
+            requirements: Requirements {
                 class: Class::Online,
                 priority: self.priority(),
                 zone: self.node.zone.clone(),
-                patience: max_wait,
+                max_wait,
                 due: left,
                 prefix: self.call.prefix,
                 // The rate limit already keeps an organisation from taking others' slots.
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -160,7 +160,7 @@
                 self.apply_config(&config);
             }
             self.send_demands(threads, &demands);
-            for (endpoint, cause) in self.router.borrow_mut().ejections() {
+            for (endpoint, cause) in self.router.borrow_mut().take_ejections() {
                 log::warn!(
                     "{} endpoint={endpoint} cause={cause:?}",
                     event::ENDPOINT_EJECTED
@@ -404,7 +404,7 @@
             }));
         for service in config.services.values() {
             let mut router = self.router.borrow_mut();
-            router.weigh(&service.name, service.latency_weight);
+            router.set_latency_weight(&service.name, service.latency_weight);
         }
         let bounds = config.organisations.values().map(|organisation| {
             let bound = Bound {
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -53,7 +53,7 @@
         let mut avoided = self.avoided.borrow_mut();
         avoided.retain(|_, until| now < *until);
         let avoid = |member: &Member| avoided.contains_key(&member.name);
-        route::dispatcher_but(view, endpoint, zone, avoid)
+        route::dispatcher_excluding(view, endpoint, zone, avoid)
             .or_else(|| route::dispatcher(view, endpoint, zone))
     }
 
--- a/src/gateway/guard.rs
+++ b/src/gateway/guard.rs
@@ -76,7 +76,7 @@
         let mut router = self.gateway.router.borrow_mut();
         router.first_token(now, self.id);
         if let Some(load) = load {
-            router.loaded(now, endpoint, load);
+            router.record_load(now, endpoint, load);
         }
     }
 
--- a/src/node/batch.rs
+++ b/src/node/batch.rs
@@ -149,7 +149,7 @@
 
 impl Executor {
     fn room_at(&self, own: &Own) -> usize {
-        let room = match self.shared.dispatch.board.load(&own.endpoint) {
+        let room = match self.shared.dispatch.loads.load(&own.endpoint) {
             Some(load) => load.room,
             None => own.slots,
         };
--- a/src/node/control.rs
+++ b/src/node/control.rs
@@ -14,7 +14,7 @@
 use crate::config::operator::{Operator, Stamp};
 use crate::config::watch::Watch;
 use crate::dispatch::Load;
-use crate::dispatch::board::Loads;
+use crate::dispatch::loads::Loads;
 use crate::gateway::{DemandReport, Shared};
 use crate::job::runner;
 use crate::limit::Grant;
@@ -23,7 +23,7 @@
 use crate::member::shell::{self, Event, Handle, Setup};
 use crate::name::Name;
 use crate::placement;
-use crate::placement::run::Site;
+use crate::placement::run::Context;
 use crate::quarantine::standings as quarantine;
 use crate::table::Vm;
 use crate::table::http::Client;
@@ -131,7 +131,7 @@
 /// Takes part in placing the models of this node's region: whoever holds the
 /// region's lease does it.
 fn start_placement(shared: &Shared, boot: u64, client: &Client) {
-    let site = Site {
+    let site = Context {
         node: shared.node.clone(),
         zone: shared.zone.clone(),
         nonce: boot,
@@ -206,7 +206,7 @@
                     Reply::Announced
                 }
                 Query::Loads => {
-                    Reply::Loads(self.shared.dispatch.board.all().into_iter().collect())
+                    Reply::Loads(self.shared.dispatch.loads.all().into_iter().collect())
                 }
                 // Only nodes whose platform keeps the configuration ask this.
                 Query::Known { .. } => Reply::Known(None),
@@ -242,7 +242,7 @@
     /// Makes this node leave; returns what is in flight here.
     pub fn drain_here(&self) -> u32 {
         let _ = self.drain.send(true);
-        let loads = self.shared.dispatch.board.all();
+        let loads = self.shared.dispatch.loads.all();
         let busy = loads
             .values()
             .map(|load| load.online + load.batch + load.queued);
@@ -262,7 +262,7 @@
 
     /// The loads of every dispatcher that answers, with the node it is on.
     pub async fn loads(&self) -> Vec<(Name, Loads)> {
-        let here = self.shared.dispatch.board.all();
+        let here = self.shared.dispatch.loads.all();
         let mut all = vec![(self.shared.node.clone(), here)];
         let view = self.shared.view.load();
         let peers = view
--- a/src/node/traffic.rs
+++ b/src/node/traffic.rs
@@ -9,7 +9,7 @@
 use super::control::Control;
 use super::remote::Remote;
 
-use crate::dispatch::handle::Desk;
+use crate::dispatch::handle::Channels;
 use crate::dispatch::shell::Shell;
 use crate::event;
 use crate::gateway::{DemandReport, Gateway, Shared};
@@ -38,7 +38,7 @@
     /// The way to the control thread, for operators.
     pub control: Remote<Control>,
     /// This thread's end of the dispatchers' handle.
-    pub desk: Desk,
+    pub desk: Channels,
     /// The callers' socket, which all threads accept from.
     pub callers: TcpListener,
     /// The other nodes' socket, which all threads accept from.
@@ -54,7 +54,7 @@
 impl Thread {
     /// Starts the thread's services on the runtime of the calling thread.
     pub fn start(self) {
-        let shell = Shell::new(&self.shared, self.desk.post);
+        let shell = Shell::new(&self.shared, self.desk.loads);
         actix_rt::spawn(shell.run(self.desk.submits));
         let desk = link::server::Desk {
             node: self.shared.node.clone(),
--- a/src/permit.rs
+++ b/src/permit.rs
@@ -26,7 +26,7 @@
 use crate::limit::meter::Meter;
 use crate::member::View;
 use crate::name::Name;
-use crate::pool::message::{Ask, Class, End, Hold, MAX_DATAGRAM, Question, Reply, Word};
+use crate::pool::message::{Class, End, Hold, MAX_DATAGRAM, Question, Reply, Requirements, Word};
 use crate::pool::shard;
 use crate::snapshot::Cell;
 use crate::wire;
@@ -67,11 +67,11 @@
 
 /// What a request wants.
 #[derive(Clone, Debug)]
-pub struct Want {
+pub struct Claim {
     /// The service.
     pub service: Name,
     /// What the pool is asked.
-    pub ask: Ask,
+    pub requirements: Requirements,
 }
 
 /// What a request does at a pool that has no place for it now.
@@ -84,7 +84,7 @@
 }
 
 struct Waiting {
-    want: Want,
+    want: Claim,
     pool: Name,
     stay: Stay,
     reply: oneshot::Sender<Result<Granted, Refusal>>,
@@ -105,7 +105,7 @@
     owner: Option<SocketAddr>,
 }
 
-/// What a [`Desk`] works with.
+/// What a [`Broker`] works with.
 pub struct Setup {
     /// Where it asks from.
     pub socket: UdpSocket,
@@ -124,7 +124,7 @@
 }
 
 /// The permits of one traffic thread.
-pub struct Desk {
+pub struct Broker {
     socket: UdpSocket,
     clock: Clock,
     catalog: Arc<Cell<Catalog>>,
@@ -139,7 +139,7 @@
 
 /// The right to use one slot of an endpoint, until it is dropped.
 pub struct Permit {
-    desk: Rc<Desk>,
+    desk: Rc<Broker>,
     seq: u64,
     pool: Name,
     end: End,
@@ -157,9 +157,9 @@
     /// The endpoint has begun to answer, which the pool hears with the next
     /// mention. Batch runs last for seconds; an endpoint on trial would stay on
     /// it as long if only their ends told.
-    pub fn begun(&self) {
+    pub fn mark_answering(&self) {
         if let Some(held) = self.desk.held.borrow_mut().get_mut(&self.seq) {
-            held.hold.begun = true;
+            held.hold.answering = true;
         }
     }
 
@@ -177,7 +177,7 @@
 
 /// Withdraws a question whose asker has gone.
 struct Withdraw<'a> {
-    desk: &'a Rc<Desk>,
+    desk: &'a Rc<Broker>,
     seq: u64,
     pool: Name,
     done: bool,
@@ -192,7 +192,7 @@
     }
 }
 
-impl Desk {
+impl Broker {
     /// A desk that asks nothing yet.
     pub fn new(setup: Setup) -> Rc<Self> {
         let owners = Owners::new(Arc::clone(&setup.view), setup.pool_port);
@@ -214,14 +214,14 @@
     ///
     /// # Errors
     /// [`Refusal`] when it would take too long, or nothing is known.
-    pub async fn acquire(self: &Rc<Self>, want: Want) -> Result<Permit, Refusal> {
+    pub async fn acquire(self: &Rc<Self>, want: Claim) -> Result<Permit, Refusal> {
         let shards = shard::shards(&self.catalog.read(), &want.service);
         // All gateways ask the same pool for a suspect, or each would run it once.
-        let (first, point) = if want.ask.suspect {
-            let point = want.ask.request.0;
+        let (first, point) = if want.requirements.suspect {
+            let point = want.requirements.request.0;
             (shard::choose(&shards, point, None), point)
         } else {
-            let first = shard::prefer(&shards, &want.ask.zone, rand::random());
+            let first = shard::prefer(&shards, &want.requirements.zone, rand::random());
             (first, rand::random())
         };
         let first = first.unwrap_or(want.service.clone());
@@ -229,8 +229,8 @@
         let Some(other) = shard::choose(&shards, point, Some(&first)) else {
             return self.acquire_from(first, Stay::Wait, want).await;
         };
-        let stay = match want.ask.class {
-            Class::Online if !want.ask.suspect => Stay::Leave,
+        let stay = match want.requirements.class {
+            Class::Online if !want.requirements.suspect => Stay::Leave,
             Class::Online | Class::Batch => Stay::Wait,
         };
         match self.acquire_from(first, stay, want.clone()).await {
@@ -243,16 +243,16 @@
         self: &Rc<Self>,
         pool: Name,
         stay: Stay,
-        want: Want,
+        want: Claim,
     ) -> Result<Permit, Refusal> {
         let seq = self.next.get();
         self.next.set(seq + 1);
         let now = self.clock.now();
         let (reply, answer) = oneshot::channel();
-        let class = want.ask.class;
-        let organisation = want.ask.organisation;
-        let (request, suspect) = (want.ask.request, want.ask.suspect);
-        let due = now + want.ask.due;
+        let class = want.requirements.class;
+        let organisation = want.requirements.organisation;
+        let (request, suspect) = (want.requirements.request, want.requirements.suspect);
+        let due = now + want.requirements.due;
         let mut waiting = Waiting {
             want,
             pool: pool.clone(),
@@ -286,7 +286,7 @@
                 request,
                 suspect,
                 due: Duration::ZERO,
-                begun: false,
+                answering: false,
             },
             due,
             stop: Rc::clone(&stop),
@@ -391,7 +391,7 @@
         let Some(endpoint) = self.usable(now, id, &waiting.want.service, address) else {
             // This node knows better: the endpoint is leaving or gone.
             self.send_release(from, seq, &waiting.pool, End::Left);
-            waiting.want.ask.avoid.push(id.clone());
+            waiting.want.requirements.avoid.push(id.clone());
             waiting.tries.unanswered = 0;
             self.send_ask(now, seq, &mut waiting);
             self.waiting.borrow_mut().insert(seq, waiting);
@@ -407,7 +407,7 @@
     fn repeat(&self, now: Time) {
         let mut alone = Vec::new();
         for (seq, waiting) in self.waiting.borrow_mut().iter_mut() {
-            let again = match (waiting.tries.unanswered, waiting.want.ask.class) {
+            let again = match (waiting.tries.unanswered, waiting.want.requirements.class) {
                 (0, Class::Online) => AGAIN_ONLINE,
                 (0, Class::Batch) => AGAIN_BATCH,
                 _ => ANSWER,
--- a/src/permit/alone.rs
+++ b/src/permit/alone.rs
@@ -5,13 +5,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::{Desk, Granted, NO_ENDPOINT_RETRY, Refusal, hash};
+use super::{Broker, Granted, NO_ENDPOINT_RETRY, Refusal, hash};
 use crate::catalog::Endpoint;
 use crate::clock::Time;
 use crate::event;
 use crate::name::Name;
 
-impl Desk {
+impl Broker {
     /// The endpoint, unless this node's catalog says that it takes no work. One
     /// that a fresh catalog lacks is gone; one that an old catalog lacks may be
     /// new.
@@ -60,7 +60,7 @@
             .filter(|endpoint| {
                 endpoint.ready
                     && endpoint.service == waiting.want.service
-                    && !waiting.want.ask.avoid.contains(&endpoint.id)
+                    && !waiting.want.requirements.avoid.contains(&endpoint.id)
             })
             .min_by_key(|endpoint| (used(&endpoint.id), seq ^ hash(&endpoint.id)));
         log::info!(
--- a/src/permit/count.rs
+++ b/src/permit/count.rs
@@ -13,7 +13,7 @@
 use tokio::sync::oneshot;
 
 use super::tries::Tries;
-use super::{ANSWER, Desk};
+use super::{ANSWER, Broker};
 use crate::catalog::keyring::Organisation;
 use crate::clock::Time;
 use crate::event;
@@ -56,7 +56,7 @@
 /// A request that is counted. Unless it is spent, it is given back when it is
 /// dropped: what did not run does not count.
 pub struct Token {
-    desk: Rc<Desk>,
+    desk: Rc<Broker>,
     seq: u64,
     limited: Limited,
     keeper: Option<SocketAddr>,
@@ -82,7 +82,7 @@
 
 /// Withdraws a question whose asker has gone; it may be counted already.
 struct Withdraw<'a> {
-    desk: &'a Rc<Desk>,
+    desk: &'a Rc<Broker>,
     seq: u64,
 }
 
@@ -98,7 +98,7 @@
     }
 }
 
-impl Desk {
+impl Broker {
     /// True when a request is to be counted before a place is looked for.
     pub fn is_suspicious(&self, limited: &Limited) -> bool {
         let now = self.clock.now();
--- a/src/permit/post.rs
+++ b/src/permit/post.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use super::{Desk, Waiting};
+use super::{Broker, Waiting};
 use crate::clock::Time;
 use crate::event;
 use crate::name::Name;
@@ -11,7 +11,7 @@
 use crate::pool::shard;
 use crate::wire;
 
-impl Desk {
+impl Broker {
     pub(super) fn mention(&self, now: Time) {
         let mut by_pool: BTreeMap<Name, Vec<Hold>> = BTreeMap::new();
         for held in self.held.borrow().values() {
@@ -76,11 +76,18 @@
             return;
         };
         let waited = now.since(waiting.since);
-        let mut ask = waiting.want.ask.clone();
-        ask.patience = ask.patience.saturating_sub(waited);
-        ask.due = ask.due.saturating_sub(waited);
+        let mut requirements = waiting.want.requirements.clone();
+        requirements.max_wait = requirements.max_wait.saturating_sub(waited);
+        requirements.due = requirements.due.saturating_sub(waited);
         let pool = waiting.pool.clone();
-        self.send(owner, &Question::Ask { pool, seq, ask });
+        self.send(
+            owner,
+            &Question::Acquire {
+                pool,
+                seq,
+                requirements,
+            },
+        );
     }
 
     pub(super) fn send(&self, owner: SocketAddr, question: &Question) {
--- a/src/placement/run.rs
+++ b/src/placement/run.rs
@@ -28,7 +28,7 @@
 const ADMIT_RETRY: Duration = Duration::from_secs(2);
 
 /// Where a node's placement runs.
-pub struct Site {
+pub struct Context {
     /// The node's name.
     pub node: Name,
     /// Its availability zone.
@@ -46,7 +46,7 @@
 /// Starts placement on this thread: it wants the region's lease while the
 /// members say so, and places while it holds it. A node that leaves is no
 /// longer among those that contend, and gives the lease up.
-pub fn start<P>(site: Site, platform: P) -> Placer<P, P>
+pub fn start<P>(site: Context, platform: P) -> Placer<P, P>
 where
     P: Table + Weight + Clone + 'static,
 {
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -30,7 +30,7 @@
 mod suspect;
 
 pub use action::{Action, Gauge, Judgement, Key};
-use message::{Ask, Class, End, Hold};
+use message::{Class, End, Hold, Requirements};
 use place::Place;
 use suspect::Suspects;
 
@@ -82,14 +82,14 @@
     granted: Time,
     mentioned: Time,
     /// True once the endpoint is known to answer it.
-    begun: bool,
+    answering: bool,
     /// When it was told to stop, and last told so.
     stopping: Option<(Time, Time)>,
 }
 
 #[derive(Clone, Debug)]
 struct Waiting {
-    ask: Ask,
+    requirements: Requirements,
     arrived: Time,
     heard: Time,
     due: Time,
@@ -168,10 +168,16 @@
     }
 
     /// A gateway asks for a place, or asks again.
-    pub fn ask(&mut self, now: Time, key: Key, ask: Ask, actions: &mut Vec<Action>) {
+    pub fn acquire(
+        &mut self,
+        now: Time,
+        key: Key,
+        requirements: Requirements,
+        actions: &mut Vec<Action>,
+    ) {
         self.started.get_or_insert(now);
-        if ask.suspect {
-            self.suspects.add(now, ask.request);
+        if requirements.suspect {
+            self.suspects.add(now, requirements.request);
         }
         if let Some(permit) = self.permits.get_mut(&key) {
             // The grant was lost.
@@ -181,8 +187,8 @@
             }
             return;
         }
-        let due = now + ask.due;
-        let queue = match ask.class {
+        let due = now + requirements.due;
+        let queue = match requirements.class {
             Class::Online => &mut self.online,
             Class::Batch => &mut self.batch,
         };
@@ -199,14 +205,14 @@
             arrived: now,
             heard: now,
             due,
-            ask,
+            requirements,
         };
         self.fresh.push(key);
-        let at = match waiting.ask.class {
+        let at = match waiting.requirements.class {
             // In order of arrival within a priority.
-            Class::Online => {
-                queue.partition_point(|(_, other)| other.ask.priority <= waiting.ask.priority)
-            }
+            Class::Online => queue.partition_point(|(_, other)| {
+                other.requirements.priority <= waiting.requirements.priority
+            }),
             // What is due first goes first.
             Class::Batch => queue.partition_point(|(_, other)| other.due <= due),
         };
@@ -226,8 +232,8 @@
             if permit.stopping.is_some() {
                 actions.push(Action::Stop(key));
             }
-            if hold.begun && !permit.begun {
-                permit.begun = true;
+            if hold.answering && !permit.answering {
+                permit.answering = true;
                 let class = permit.class;
                 self.answered(&hold.endpoint, class);
             }
@@ -245,7 +251,7 @@
             due: now + hold.due,
             granted: now,
             mentioned: now,
-            begun: hold.begun,
+            answering: hold.answering,
             stopping: None,
         };
         if let Some(place) = self.places.get_mut(&permit.endpoint) {
@@ -275,7 +281,7 @@
         match end {
             End::Done => {
                 self.suspects.remove(permit.request);
-                if !permit.begun {
+                if !permit.answering {
                     self.answered(&permit.endpoint, permit.class);
                 }
                 if permit.class == Class::Online {
--- a/src/pool/grant.rs
+++ b/src/pool/grant.rs
@@ -6,7 +6,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::message::{Ask, Class};
+use super::message::{Class, Requirements};
 use super::place::Place;
 use super::{
     Action, Key, LEARN, Permit, Pool, RESERVE_ONE_IN, RETRY_MAX, RETRY_MIN, STOP_AGAIN, Waiting,
@@ -27,8 +27,8 @@
         let slots: u32 = self.places.values().map(Place::slots).sum();
         let mut ahead = 0_u32;
         for (key, waiting) in waiting {
-            if self.waits(now, &waiting.ask) {
-                if now.since(waiting.arrived) > waiting.ask.patience {
+            if self.waits(now, &waiting.requirements) {
+                if now.since(waiting.arrived) > waiting.requirements.max_wait {
                     actions.push(Action::Refuse(key, RETRY_MIN));
                 } else {
                     self.online.push((key, waiting));
@@ -36,8 +36,8 @@
                 continue;
             }
             let place = self
-                .best(now, &waiting.ask)
-                .or_else(|| self.stop_one(now, &waiting.ask, actions));
+                .best(now, &waiting.requirements)
+                .or_else(|| self.stop_one(now, &waiting.requirements, actions));
             if let Some(id) = place {
                 self.grant(now, key, &waiting, &id, actions);
                 continue;
@@ -47,7 +47,7 @@
             ahead += 1;
             let expected = self.hold * ahead / slots.max(1);
             let waited = now.since(waiting.arrived);
-            if waited + expected > waiting.ask.patience {
+            if waited + expected > waiting.requirements.max_wait {
                 actions.push(Action::Refuse(key, self.retry_after(expected)));
                 ahead -= 1;
                 continue;
@@ -80,22 +80,23 @@
         } else {
             free.saturating_sub(reserve)
         };
-        let impatient =
-            |(_, waiting): &(Key, Waiting)| now.since(waiting.arrived) > waiting.ask.patience;
+        let impatient = |(_, waiting): &(Key, Waiting)| {
+            now.since(waiting.arrived) > waiting.requirements.max_wait
+        };
         if room == 0 && !self.batch.iter().any(impatient) {
             return;
         }
         let waiting = self.fair_order();
         for (key, waiting) in waiting {
             if room > 0
-                && !self.waits(now, &waiting.ask)
-                && let Some(id) = self.best(now, &waiting.ask)
+                && !self.waits(now, &waiting.requirements)
+                && let Some(id) = self.best(now, &waiting.requirements)
             {
                 self.grant(now, key, &waiting, &id, actions);
                 room -= 1;
                 continue;
             }
-            if now.since(waiting.arrived) > waiting.ask.patience {
+            if now.since(waiting.arrived) > waiting.requirements.max_wait {
                 // Another pool of the service may have room.
                 actions.push(Action::Refuse(key, RETRY_MIN));
                 continue;
@@ -118,12 +119,12 @@
         }
         let total: usize = held.values().sum();
         for (_, waiting) in &self.batch {
-            held.entry(waiting.ask.organisation).or_default();
+            held.entry(waiting.requirements.organisation).or_default();
         }
         let part = total / held.len().max(1);
         let mut order: Vec<(bool, (Key, Waiting))> = Vec::with_capacity(self.batch.len());
         for (key, waiting) in self.batch.drain(..) {
-            let has = held.entry(waiting.ask.organisation).or_default();
+            let has = held.entry(waiting.requirements.organisation).or_default();
             order.push((*has > part, (key, waiting)));
             *has += 1;
         }
@@ -142,18 +143,18 @@
         let Some(place) = self.places.get_mut(id) else {
             return;
         };
-        place.add(waiting.ask.class);
-        place.granted(waiting.ask.prefix);
+        place.add(waiting.requirements.class);
+        place.granted(waiting.requirements.prefix);
         actions.push(Action::Grant(key, Arc::clone(&place.endpoint)));
         let permit = Permit {
             endpoint: id.clone(),
-            class: waiting.ask.class,
-            organisation: waiting.ask.organisation,
-            request: waiting.ask.request,
+            class: waiting.requirements.class,
+            organisation: waiting.requirements.organisation,
+            request: waiting.requirements.request,
             due: waiting.due,
             granted: now,
             mentioned: now,
-            begun: false,
+            answering: false,
             stopping: None,
         };
         self.permits.insert(key, permit);
@@ -161,14 +162,14 @@
 
     /// The best endpoint with a free slot, of those that have not failed the
     /// request; where all of them have, any may do better now.
-    pub(super) fn best(&self, now: Time, ask: &Ask) -> Option<Name> {
-        let fresh = |id: &Name| !ask.avoid.contains(id);
-        let any_fresh = ask.avoid.is_empty()
+    pub(super) fn best(&self, now: Time, requirements: &Requirements) -> Option<Name> {
+        let fresh = |id: &Name| !requirements.avoid.contains(id);
+        let any_fresh = requirements.avoid.is_empty()
             || self
                 .places
                 .iter()
                 .any(|(id, place)| place.slots() > 0 && fresh(id));
-        let is_suspect = self.suspects.has(ask.request);
+        let is_suspect = self.suspects.has(requirements.request);
         let beside = self.suspects_running();
         self.places
             .iter()
@@ -176,7 +177,7 @@
             .filter(|(id, _)| !(is_suspect && beside.contains(id)))
             .map(|(id, place)| {
                 let risk = if beside.contains(id) { RISK_COST } else { 0.0 };
-                (place.score(ask) + risk, self.draw(id), id)
+                (place.score(requirements) + risk, self.draw(id), id)
             })
             .min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)))
             .map(|(_, _, id)| id.clone())
@@ -195,14 +196,14 @@
 
     /// True while a suspected request has to wait: it rests, or another run of it goes
     /// on. Repeats at several gateways would otherwise end as many endpoints at once.
-    fn waits(&self, now: Time, ask: &Ask) -> bool {
-        if self.suspects.is_empty() || !self.suspects.has(ask.request) {
+    fn waits(&self, now: Time, requirements: &Requirements) -> bool {
+        if self.suspects.is_empty() || !self.suspects.has(requirements.request) {
             return false;
         }
-        if self.suspects.rests(now, ask.request) {
+        if self.suspects.rests(now, requirements.request) {
             return true;
         }
-        let same = |permit: &Permit| permit.request == ask.request;
+        let same = |permit: &Permit| permit.request == requirements.request;
         self.permits.values().any(same)
     }
 
@@ -215,7 +216,7 @@
     pub(super) fn stop_one(
         &mut self,
         now: Time,
-        ask: &Ask,
+        requirements: &Requirements,
         actions: &mut Vec<Action>,
     ) -> Option<Name> {
         let places = &self.places;
@@ -225,7 +226,7 @@
             .filter(|(_, permit)| {
                 permit.class == Class::Batch
                     && permit.stopping.is_none()
-                    && !ask.avoid.contains(&permit.endpoint)
+                    && !requirements.avoid.contains(&permit.endpoint)
                     && places
                         .get(&permit.endpoint)
                         .is_some_and(|place| place.is_open(now))
--- a/src/pool/message.rs
+++ b/src/pool/message.rs
@@ -30,7 +30,7 @@
 
 /// A gateway asks for a place.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct Requirements {
     /// The kind of work.
     #[serde(rename = "c")]
     pub class: Class,
@@ -42,7 +42,7 @@
     pub zone: Name,
     /// How long it may wait for a place.
     #[serde(rename = "w")]
-    pub patience: Duration,
+    pub max_wait: Duration,
     /// When it is due, from now.
     #[serde(rename = "d")]
     pub due: Duration,
@@ -98,7 +98,7 @@
     pub suspect: bool,
     /// True once the endpoint has begun to answer.
     #[serde(rename = "b", default, skip_serializing_if = "std::ops::Not::not")]
-    pub begun: bool,
+    pub answering: bool,
 }
 
 /// How the use of a place ended.
@@ -133,7 +133,7 @@
 pub enum Question {
     /// It wants a place, or still wants it.
     #[serde(rename = "a")]
-    Ask {
+    Acquire {
         /// The pool.
         #[serde(rename = "v")]
         pool: Name,
@@ -142,7 +142,7 @@
         seq: u64,
         /// What it asks.
         #[serde(rename = "q")]
-        ask: Ask,
+        requirements: Requirements,
     },
     /// It holds these.
     #[serde(rename = "h")]
@@ -196,7 +196,7 @@
     /// The pool that it is for; none where it is about a limit.
     pub fn pool(&self) -> Option<&Name> {
         match self {
-            Self::Ask { pool, .. } | Self::Holds { pool, .. } | Self::Release { pool, .. } => {
+            Self::Acquire { pool, .. } | Self::Holds { pool, .. } | Self::Release { pool, .. } => {
                 Some(pool)
             }
             Self::Count { .. } | Self::Back { .. } | Self::Probe => None,
--- a/src/pool/place.rs
+++ b/src/pool/place.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use super::fault::Faults;
-use super::message::{Ask, Class};
+use super::message::{Class, Requirements};
 use crate::catalog::Endpoint;
 use crate::clock::Time;
 
@@ -91,13 +91,13 @@
     }
 
     /// Less is better.
-    pub(super) fn score(&self, ask: &Ask) -> f64 {
+    pub(super) fn score(&self, requirements: &Requirements) -> f64 {
         let load = f64::from(self.online + self.batch) / f64::from(self.slots().max(1));
         let mut score = load + f64::from(self.strikes);
-        if ask.class == Class::Online && self.prefixes.contains(&ask.prefix) {
+        if requirements.class == Class::Online && self.prefixes.contains(&requirements.prefix) {
             score -= PREFIX_WORTH;
         }
-        if self.endpoint.zone != ask.zone {
+        if self.endpoint.zone != requirements.zone {
             score += ZONE_COST;
         }
         score
--- a/src/pool/serve.rs
+++ b/src/pool/serve.rs
@@ -141,7 +141,9 @@
             .or_insert_with(|| Pool::new(rand::random()));
         let actions = actions.entry(name).or_default();
         match question {
-            Question::Ask { seq, ask, .. } => pool.ask(now, key(seq), ask, actions),
+            Question::Acquire {
+                seq, requirements, ..
+            } => pool.acquire(now, key(seq), requirements, actions),
             Question::Holds { holds, .. } => {
                 for hold in &holds {
                     pool.hold(now, key(hold.seq), hold, actions);
@@ -182,7 +184,7 @@
                 let word = Word::Here;
                 self.send(from, &Reply { seq: 0, word });
             }
-            Question::Ask { .. } | Question::Holds { .. } | Question::Release { .. } => {}
+            Question::Acquire { .. } | Question::Holds { .. } | Question::Release { .. } => {}
         }
     }
 
--- a/src/route.rs
+++ b/src/route.rs
@@ -24,7 +24,7 @@
 /// endpoint's zone go before all others, because an answer streams through
 /// the dispatcher and the way between zones is longer.
 pub fn dispatcher<'a>(view: &'a View, endpoint: &str, zone: &str) -> Option<&'a Member> {
-    dispatcher_but(view, endpoint, zone, |_| false)
+    dispatcher_excluding(view, endpoint, zone, |_| false)
 }
 
 /// The same, passing over the members for which `avoid` is true.
@@ -33,7 +33,7 @@
 /// it seconds later every question for its endpoints fails. A gateway that has
 /// just lost its link to a node goes to the endpoint's next one at once. Two
 /// dispatchers before one endpoint for a moment cost latency, nothing else.
-pub fn dispatcher_but<'a, A>(
+pub fn dispatcher_excluding<'a, A>(
     view: &'a View,
     endpoint: &str,
     zone: &str,
--- a/src/route/router.rs
+++ b/src/route/router.rs
@@ -187,7 +187,7 @@
 
     /// Packs the questions of a service onto as few endpoints as its
     /// `latency_weight` bears, so that the others are all for batch work.
-    pub fn weigh(&mut self, service: &str, latency_weight: u32) {
+    pub fn set_latency_weight(&mut self, service: &str, latency_weight: u32) {
         if let Some(pool) = self.services.get_mut(service) {
             pool.packing = Packing::new(latency_weight);
         }
@@ -290,14 +290,14 @@
     }
 
     /// A load came back with a first token or on its own.
-    pub fn loaded(&mut self, now: Time, endpoint: &str, load: Load) {
+    pub fn record_load(&mut self, now: Time, endpoint: &str, load: Load) {
         if let Some(&at) = self.index.get(endpoint) {
             self.endpoints[at as usize].take(now, load);
         }
     }
 
     /// A cache event of an endpoint arrived.
-    pub fn cache(&mut self, endpoint: &str, block: u64, stored: bool) {
+    pub fn record_cache_event(&mut self, endpoint: &str, block: u64, stored: bool) {
         match self.index.get(endpoint) {
             Some(&at) if stored => self.prefixes.store(block, at),
             Some(&at) => self.prefixes.evict(block, at),
@@ -312,7 +312,7 @@
     }
 
     /// Endpoints ejected since the last call, for the log.
-    pub fn ejections(&mut self) -> Vec<(Name, Cause)> {
+    pub fn take_ejections(&mut self) -> Vec<(Name, Cause)> {
         std::mem::take(&mut self.ejections)
     }
 
--- a/standin/src/policy/gateway.rs
+++ b/standin/src/policy/gateway.rs
@@ -68,7 +68,7 @@
             case.way,
             Way::Queue(Policy::Adaptive | Policy::AdaptiveCancel)
         ) {
-            router.weigh(SERVICE, case.latency_weight);
+            router.set_latency_weight(SERVICE, case.latency_weight);
         }
         Self {
             router,
--- a/standin/src/policy/world.rs
+++ b/standin/src/policy/world.rs
@@ -388,7 +388,7 @@
         gateway.router.first_token(self.now, id);
         if let Some(load) = load {
             let endpoint = gateway::endpoint(attempt.queue % self.sites.len());
-            gateway.router.loaded(self.now, &endpoint, load);
+            gateway.router.record_load(self.now, &endpoint, load);
         }
         let ask = &mut self.asks[at];
         if ask.closed || !ask.active.contains(&id) {
@@ -495,7 +495,9 @@
             let name = gateway::endpoint(at);
             for gateway in &mut self.gateways {
                 for event in &events {
-                    gateway.router.cache(&name, event.block, event.stored);
+                    gateway
+                        .router
+                        .record_cache_event(&name, event.block, event.stored);
                 }
             }
             for queue in (0..self.fronts.len()).filter(|q| q % self.sites.len() == at) {
--- a/standin/tests/support/fleet.rs
+++ b/standin/tests/support/fleet.rs
@@ -15,7 +15,7 @@
 use auburnspoke::limit::Tolerance;
 use auburnspoke::member::View;
 use auburnspoke::name::Name;
-use auburnspoke::permit::{self, Desk};
+use auburnspoke::permit::{self, Broker};
 use auburnspoke::platform::store::Client;
 use auburnspoke::pool;
 use auburnspoke::quarantine::{Ward, ward};
@@ -139,7 +139,7 @@
             let members = vec![member(&me)];
             let view = Arc::new(Cell::new(View { members }));
             let socket = tokio::net::UdpSocket::from_std(local()).unwrap();
-            let desk = Desk::new(permit::Setup {
+            let desk = Broker::new(permit::Setup {
                 socket,
                 pool_port: port,
                 boot: at as u64,
--- a/tests/permit_owner.rs
+++ b/tests/permit_owner.rs
@@ -14,9 +14,9 @@
 use auburnspoke::member::{Member, View};
 use auburnspoke::name::Name;
 use auburnspoke::permit::owner::Owners;
-use auburnspoke::permit::{self, Desk, Want};
+use auburnspoke::permit::{self, Broker, Claim};
 use auburnspoke::pool;
-use auburnspoke::pool::message::{Ask, Class};
+use auburnspoke::pool::message::{Class, Requirements};
 use auburnspoke::quarantine::Fingerprint;
 use auburnspoke::snapshot::Cell;
 use googletest::prelude::*;
@@ -101,14 +101,14 @@
     }
 }
 
-fn want() -> Want {
-    Want {
+fn want() -> Claim {
+    Claim {
         service: "s".into(),
-        ask: Ask {
+        requirements: Requirements {
             class: Class::Online,
             priority: 0,
             zone: "z".into(),
-            patience: Duration::from_millis(300),
+            max_wait: Duration::from_millis(300),
             due: Duration::from_secs(5),
             prefix: 0,
             organisation: 0,
@@ -158,7 +158,7 @@
             tolerance: Tolerance::default(),
         }));
         let last = member_socket(number(third), port);
-        let desk = Desk::new(permit::Setup {
+        let desk = Broker::new(permit::Setup {
             socket: member_socket(8, 0),
             pool_port: port,
             boot: 1,
--- a/tests/permit_zones.rs
+++ b/tests/permit_zones.rs
@@ -14,9 +14,9 @@
 use auburnspoke::limit::Tolerance;
 use auburnspoke::member::View;
 use auburnspoke::name::Name;
-use auburnspoke::permit::{self, Desk, Permit, Want};
+use auburnspoke::permit::{self, Broker, Claim, Permit};
 use auburnspoke::pool;
-use auburnspoke::pool::message::{Ask, Class};
+use auburnspoke::pool::message::{Class, Requirements};
 use auburnspoke::quarantine::Fingerprint;
 use auburnspoke::snapshot::Cell;
 use googletest::prelude::*;
@@ -64,7 +64,7 @@
 }
 
 /// A gateway in `z0`, and the pools of all zones.
-fn desk() -> Rc<Desk> {
+fn desk() -> Rc<Broker> {
     let clock = Clock::start();
     let catalog = Arc::new(Cell::new(catalog()));
     let pools = local();
@@ -78,7 +78,7 @@
         own: [127, 0, 0, 1].into(),
         tolerance: Tolerance::default(),
     }));
-    let desk = Desk::new(permit::Setup {
+    let desk = Broker::new(permit::Setup {
         socket: local(),
         pool_port: port,
         boot: 1,
@@ -91,12 +91,12 @@
     desk
 }
 
-async fn acquire(desk: &Rc<Desk>) -> Option<Permit> {
-    let ask = Ask {
+async fn acquire(desk: &Rc<Broker>) -> Option<Permit> {
+    let requirements = Requirements {
         class: Class::Online,
         priority: 0,
         zone: "z0".into(),
-        patience: Duration::from_millis(230),
+        max_wait: Duration::from_millis(230),
         due: Duration::from_secs(5),
         prefix: 0,
         organisation: 0,
@@ -104,9 +104,9 @@
         suspect: false,
         avoid: Vec::new(),
     };
-    let want = Want {
+    let want = Claim {
         service: "llm".into(),
-        ask,
+        requirements,
     };
     desk.acquire(want).await.ok()
 }
--- a/tests/pool_admission.rs
+++ b/tests/pool_admission.rs
@@ -11,16 +11,16 @@
 use auburnspoke::catalog::Endpoint;
 use auburnspoke::clock::Time;
 use auburnspoke::name::Name;
-use auburnspoke::pool::message::{Ask, Class, End, Hold};
+use auburnspoke::pool::message::{Class, End, Hold, Requirements};
 use auburnspoke::pool::{Action, Judgement, Pool};
 use auburnspoke::quarantine::Fingerprint;
 use googletest::prelude::*;
-use support::{SLOTS, ask, at, endpoint, key, pool};
+use support::{SLOTS, at, endpoint, key, pool, requirements};
 
 /// Asks at `now` and returns what the pool does.
-fn decide(pool: &mut Pool, now: Time, seq: u64, ask: Ask) -> Vec<Action> {
+fn decide(pool: &mut Pool, now: Time, seq: u64, requirements: Requirements) -> Vec<Action> {
     let mut actions = Vec::new();
-    pool.ask(now, key(seq), ask, &mut actions);
+    pool.acquire(now, key(seq), requirements, &mut actions);
     pool.step(now, &mut actions);
     actions
 }
@@ -34,9 +34,16 @@
 
 /// Fills every slot that batch work may take, as it does in a valley.
 fn fill_with_batch(pool: &mut Pool) -> u64 {
-    decide(pool, at(0), 1, ask(Class::Batch, 1_000));
+    decide(pool, at(0), 1, requirements(Class::Batch, 1_000));
     let mut seq = 2;
-    while granted(&decide(pool, at(500), seq, ask(Class::Batch, 1_000 + seq))).is_some() {
+    while granted(&decide(
+        pool,
+        at(500),
+        seq,
+        requirements(Class::Batch, 1_000 + seq),
+    ))
+    .is_some()
+    {
         seq += 1;
     }
     seq
@@ -46,7 +53,12 @@
 fn ask_free_slot() {
     let mut pool = pool(1);
     expect_that!(
-        granted(&decide(&mut pool, at(0), 1, ask(Class::Online, 5_000))),
+        granted(&decide(
+            &mut pool,
+            at(0),
+            1,
+            requirements(Class::Online, 5_000)
+        )),
         some(eq("e0"))
     );
 }
@@ -59,7 +71,7 @@
     let next = fill_with_batch(&mut pool) + 1;
     let mut stopped = 0;
     for seq in next..next + u64::from(2 * SLOTS) {
-        let actions = decide(&mut pool, at(510), seq, ask(Class::Online, 5_000));
+        let actions = decide(&mut pool, at(510), seq, requirements(Class::Online, 5_000));
         expect_that!(granted(&actions), some(anything()));
         stopped += actions
             .iter()
@@ -75,8 +87,8 @@
 fn stop_latest_due() {
     let mut pool = pool(1);
     let last = fill_with_batch(&mut pool) - 1;
-    decide(&mut pool, at(510), 900, ask(Class::Online, 5_000));
-    let actions = decide(&mut pool, at(510), 901, ask(Class::Online, 5_000));
+    decide(&mut pool, at(510), 900, requirements(Class::Online, 5_000));
+    let actions = decide(&mut pool, at(510), 901, requirements(Class::Online, 5_000));
     expect_that!(actions, contains(eq(&Action::Stop(key(last)))));
 }
 
@@ -86,8 +98,8 @@
 fn stop_repeated_until_obeyed() {
     let mut pool = pool(1);
     let last = fill_with_batch(&mut pool) - 1;
-    decide(&mut pool, at(510), 900, ask(Class::Online, 5_000));
-    decide(&mut pool, at(510), 901, ask(Class::Online, 5_000));
+    decide(&mut pool, at(510), 900, requirements(Class::Online, 5_000));
+    decide(&mut pool, at(510), 901, requirements(Class::Online, 5_000));
     let mut actions = Vec::new();
     pool.step(at(700), &mut actions);
     expect_that!(actions, contains(eq(&Action::Stop(key(last)))));
@@ -105,7 +117,7 @@
     let mut pool = pool(1);
     let mut refused = Vec::new();
     for seq in 0..60 {
-        for action in decide(&mut pool, at(0), seq, ask(Class::Online, 5_000)) {
+        for action in decide(&mut pool, at(0), seq, requirements(Class::Online, 5_000)) {
             if let Action::Refuse(_, after) = action {
                 refused.push(after);
             }
@@ -126,7 +138,7 @@
 fn ask_patience_over() {
     let mut pool = pool(1);
     for seq in 0..9 {
-        decide(&mut pool, at(0), seq, ask(Class::Online, 5_000));
+        decide(&mut pool, at(0), seq, requirements(Class::Online, 5_000));
     }
     let mut actions = Vec::new();
     pool.step(at(150), &mut actions);
@@ -141,9 +153,14 @@
 fn expire_gateway_gone() {
     let mut pool = pool(1);
     for seq in 0..8 {
-        decide(&mut pool, at(0), seq, ask(Class::Online, 5_000));
+        decide(&mut pool, at(0), seq, requirements(Class::Online, 5_000));
     }
-    let actions = decide(&mut pool, at(1_800), 100, ask(Class::Online, 5_000));
+    let actions = decide(
+        &mut pool,
+        at(1_800),
+        100,
+        requirements(Class::Online, 5_000),
+    );
     expect_that!(granted(&actions), some(eq("e0")));
 }
 
@@ -163,11 +180,11 @@
             request: Fingerprint(0),
             suspect: false,
             due: Duration::from_secs(9),
-            begun: false,
+            answering: false,
         };
         pool.hold(at(0), key(seq), &hold, &mut actions);
     }
-    let actions = decide(&mut pool, at(450), 100, ask(Class::Batch, 5_000));
+    let actions = decide(&mut pool, at(450), 100, requirements(Class::Batch, 5_000));
     expect_that!(granted(&actions), none());
 }
 
@@ -175,7 +192,12 @@
 fn ask_batch_while_learning() {
     let mut pool = pool(1);
     expect_that!(
-        granted(&decide(&mut pool, at(0), 1, ask(Class::Batch, 5_000))),
+        granted(&decide(
+            &mut pool,
+            at(0),
+            1,
+            requirements(Class::Batch, 5_000)
+        )),
         none()
     );
 }
@@ -185,8 +207,8 @@
 #[gtest]
 fn ask_grant_lost() {
     let mut pool = pool(1);
-    decide(&mut pool, at(0), 1, ask(Class::Online, 5_000));
-    decide(&mut pool, at(25), 1, ask(Class::Online, 5_000));
+    decide(&mut pool, at(0), 1, requirements(Class::Online, 5_000));
+    decide(&mut pool, at(25), 1, requirements(Class::Online, 5_000));
     expect_that!(pool.gauge().held, eq(1));
 }
 
@@ -195,17 +217,17 @@
 #[gtest]
 fn release_failed_endpoint_left_out() {
     let mut pool = pool(2);
-    let mut avoided = ask(Class::Online, 5_000);
+    let mut avoided = requirements(Class::Online, 5_000);
     avoided.avoid = vec!["e1".into()];
     decide(&mut pool, at(0), 1, avoided);
     pool.release(at(1), key(1), End::Failed);
     for seq in 2..10 {
-        let actions = decide(&mut pool, at(2), seq, ask(Class::Online, 5_000));
+        let actions = decide(&mut pool, at(2), seq, requirements(Class::Online, 5_000));
         expect_that!(granted(&actions), some(eq("e1")));
     }
-    let actions = decide(&mut pool, at(600), 10, ask(Class::Online, 5_000));
+    let actions = decide(&mut pool, at(600), 10, requirements(Class::Online, 5_000));
     expect_that!(granted(&actions), some(eq("e0")));
-    let actions = decide(&mut pool, at(600), 11, ask(Class::Online, 5_000));
+    let actions = decide(&mut pool, at(600), 11, requirements(Class::Online, 5_000));
     expect_that!(granted(&actions), none());
 }
 
@@ -221,7 +243,7 @@
         let mut pool = Pool::new(salt);
         pool.set_endpoints(all.iter());
         for seq in 0..9 {
-            let mut anywhere = ask(Class::Online, 5_000);
+            let mut anywhere = requirements(Class::Online, 5_000);
             anywhere.zone = "elsewhere".into();
             let id = granted(&decide(&mut pool, at(0), seq, anywhere)).unwrap();
             *held.entry(id).or_default() += 1;
@@ -241,7 +263,12 @@
     });
     pool.set_endpoints([leaving].iter());
     expect_that!(
-        granted(&decide(&mut pool, at(0), 1, ask(Class::Online, 5_000))),
+        granted(&decide(
+            &mut pool,
+            at(0),
+            1,
+            requirements(Class::Online, 5_000)
+        )),
         none()
     );
 }
@@ -254,7 +281,7 @@
     let mut pool = pool(3);
     let mut first = BTreeSet::new();
     for seq in 0..u64::from(3 * SLOTS) {
-        let actions = decide(&mut pool, at(0), seq, ask(Class::Online, 5_000));
+        let actions = decide(&mut pool, at(0), seq, requirements(Class::Online, 5_000));
         if granted(&actions).as_deref() == Some("e0") {
             first.insert(seq);
         }
@@ -268,11 +295,16 @@
         }
     }
     expect_that!(broken, eq(u64::from(SLOTS)));
-    let closed = decide(&mut pool, at(20), again, ask(Class::Online, 5_000));
+    let closed = decide(&mut pool, at(20), again, requirements(Class::Online, 5_000));
     expect_that!(granted(&closed), none());
     pool.release(at(21), key(again), End::Left);
     again += 1;
-    let open = decide(&mut pool, at(700), again, ask(Class::Online, 5_000));
+    let open = decide(
+        &mut pool,
+        at(700),
+        again,
+        requirements(Class::Online, 5_000),
+    );
     expect_that!(granted(&open), some(eq("e0")));
 }
 
@@ -283,7 +315,7 @@
     let mut pool = pool(2);
     let mut actions = Vec::new();
     for seq in 0..3 {
-        let mut to_first = ask(Class::Online, 5_000);
+        let mut to_first = requirements(Class::Online, 5_000);
         to_first.avoid = vec!["e1".into()];
         decide(&mut pool, at(seq), seq, to_first);
         pool.release(at(seq), key(seq), End::Error);
@@ -302,7 +334,7 @@
     );
     let mut trusted = Vec::new();
     for seq in 10..16 {
-        let mut to_first = ask(Class::Online, 5_000);
+        let mut to_first = requirements(Class::Online, 5_000);
         to_first.avoid = vec!["e1".into()];
         decide(&mut pool, at(600 + seq), seq, to_first);
         pool.release(at(600 + seq), key(seq), End::Done);
@@ -320,14 +352,14 @@
 #[gtest]
 fn release_errors_everywhere() {
     let mut pool = pool(3);
-    decide(&mut pool, at(0), 1, ask(Class::Batch, 5_000));
+    decide(&mut pool, at(0), 1, requirements(Class::Batch, 5_000));
     pool.release(at(0), key(1), End::Left);
     let mut seq = 1;
     for round in 0..40 {
         let now = at(500 + round * 20);
         let held: Vec<u64> = (seq + 1..=seq + 3).collect();
         for seq in &held {
-            let actions = decide(&mut pool, now, *seq, ask(Class::Batch, 5_000));
+            let actions = decide(&mut pool, now, *seq, requirements(Class::Batch, 5_000));
             expect_that!(granted(&actions), some(anything()));
         }
         for seq in &held {
@@ -338,7 +370,12 @@
     }
     for _ in 0..3 * SLOTS {
         seq += 1;
-        let actions = decide(&mut pool, at(1_400), seq, ask(Class::Online, 5_000));
+        let actions = decide(
+            &mut pool,
+            at(1_400),
+            seq,
+            requirements(Class::Online, 5_000),
+        );
         expect_that!(granted(&actions), some(anything()));
     }
 }
@@ -349,7 +386,7 @@
 #[gtest]
 fn ask_every_endpoint_avoided() {
     let mut pool = pool(2);
-    let mut avoided = ask(Class::Online, 5_000);
+    let mut avoided = requirements(Class::Online, 5_000);
     avoided.avoid = vec!["e0".into(), "e1".into()];
     expect_that!(
         granted(&decide(&mut pool, at(0), 1, avoided)),
@@ -364,7 +401,7 @@
 fn set_endpoints_restarted() {
     let mut pool = pool(1);
     for seq in 0..u64::from(SLOTS) {
-        decide(&mut pool, at(0), seq, ask(Class::Online, 5_000));
+        decide(&mut pool, at(0), seq, requirements(Class::Online, 5_000));
     }
     pool.release(at(1), key(0), End::Failed);
     let restarted = Arc::new(Endpoint {
@@ -373,7 +410,7 @@
     });
     pool.set_endpoints([restarted].iter());
     for seq in 100..100 + u64::from(SLOTS) {
-        let actions = decide(&mut pool, at(2), seq, ask(Class::Online, 5_000));
+        let actions = decide(&mut pool, at(2), seq, requirements(Class::Online, 5_000));
         expect_that!(granted(&actions), some(eq("e0")));
     }
 }
@@ -383,11 +420,11 @@
 /// single job would be late by all of their time, and its planner without a sheet.
 #[gtest]
 fn ask_batch_between_organisations() {
-    let of = |organisation, due_ms| Ask {
+    let of = |organisation, due_ms| Requirements {
         organisation,
         request: Fingerprint(0),
         suspect: false,
-        ..ask(Class::Batch, due_ms)
+        ..requirements(Class::Batch, due_ms)
     };
     let mut pool = pool(2);
     decide(&mut pool, at(0), 1, of(1, 5_000));
--- a/tests/pool_replay.rs
+++ b/tests/pool_replay.rs
@@ -9,13 +9,13 @@
 
 use auburnspoke::catalog::Endpoint;
 use auburnspoke::name::Name;
-use auburnspoke::pool::message::{Ask, Class, End, Hold};
+use auburnspoke::pool::message::{Class, End, Hold, Requirements};
 use auburnspoke::pool::{Action, Key};
 use auburnspoke::quarantine::Fingerprint;
 use googletest::prelude::*;
 use rand::{Rng as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
-use support::{ask, at, key, pool};
+use support::{at, key, pool, requirements};
 
 /// What a replayed load came to.
 #[derive(Debug, Default)]
@@ -71,7 +71,12 @@
             served.online += 1;
             served.peak += u32::from(now % 5_200 >= 3_000);
             asked.insert(seq, (Class::Online, now));
-            pool.ask(at(now), key(seq), ask(Class::Online, 5_000), &mut actions);
+            pool.acquire(
+                at(now),
+                key(seq),
+                requirements(Class::Online, 5_000),
+                &mut actions,
+            );
         }
         let waiting = asked
             .values()
@@ -80,11 +85,11 @@
         for _ in waiting..24 {
             seq += 1;
             asked.insert(seq, (Class::Batch, now));
-            let patient = Ask {
-                patience: Duration::from_secs(60),
-                ..ask(Class::Batch, 18_000)
+            let patient = Requirements {
+                max_wait: Duration::from_secs(60),
+                ..requirements(Class::Batch, 18_000)
             };
-            pool.ask(at(now), key(seq), patient, &mut actions);
+            pool.acquire(at(now), key(seq), patient, &mut actions);
         }
         while let Some((&(when, id), &(seq, end))) = ends.iter().next()
             && when <= now
@@ -108,12 +113,17 @@
                     organisation: 0,
                     request: Fingerprint(0),
                     suspect: false,
-                    begun: now >= began + 40 && !failing.contains(seq),
+                    answering: now >= began + 40 && !failing.contains(seq),
                 };
                 pool.hold(at(now), key(*seq), &hold, &mut actions);
             }
             for (seq, (class, _)) in &asked {
-                pool.ask(at(now), key(*seq), ask(*class, 5_000), &mut actions);
+                pool.acquire(
+                    at(now),
+                    key(*seq),
+                    requirements(*class, 5_000),
+                    &mut actions,
+                );
             }
         }
         pool.step(at(now), &mut actions);
--- a/tests/quarantine_evidence.rs
+++ b/tests/quarantine_evidence.rs
@@ -4,7 +4,7 @@
 
 use auburnspoke::clock::Time;
 use auburnspoke::connect::Reachability;
-use auburnspoke::pool::message::{Ask, Class, End};
+use auburnspoke::pool::message::{Class, End, Requirements};
 use auburnspoke::pool::{Action, Key, Pool};
 use auburnspoke::quarantine::Fingerprint;
 use auburnspoke::quarantine::evidence::{Crash, Evidence, Moment, Standing};
@@ -15,7 +15,7 @@
 #[path = "support/pool.rs"]
 mod support;
 
-use support::{ask, at, key, pool};
+use support::{at, key, pool, requirements};
 
 const KILLER: Fingerprint = Fingerprint(1);
 const OTHER: Fingerprint = Fingerprint(2);
@@ -247,11 +247,11 @@
     }
 }
 
-fn suspect(request: u64) -> Ask {
-    Ask {
+fn suspect(request: u64) -> Requirements {
+    Requirements {
         request: Fingerprint(request),
         suspect: true,
-        ..ask(Class::Online, 5_000)
+        ..requirements(Class::Online, 5_000)
     }
 }
 
@@ -272,7 +272,7 @@
     let mut pool = pool(4);
     let mut actions = Vec::new();
     for seq in 0..3 {
-        pool.ask(at(0), key(seq), suspect(7), &mut actions);
+        pool.acquire(at(0), key(seq), suspect(7), &mut actions);
     }
     let first = granted(&mut pool, at(0));
     expect_that!(first, len(eq(1)));
@@ -286,7 +286,7 @@
     let mut pool = pool(3);
     let mut actions = Vec::new();
     for seq in 0..3 {
-        pool.ask(at(0), key(seq), suspect(seq + 1), &mut actions);
+        pool.acquire(at(0), key(seq), suspect(seq + 1), &mut actions);
     }
     let mut places: Vec<String> = granted(&mut pool, at(0))
         .into_iter()
@@ -304,14 +304,14 @@
     let mut actions = Vec::new();
     let mut now = 0;
     for (seq, rest) in [(0, 0), (1, 500), (2, 1_000)] {
-        pool.ask(at(now), key(seq), suspect(7), &mut actions);
+        pool.acquire(at(now), key(seq), suspect(7), &mut actions);
         let granted = granted(&mut pool, at(now));
         expect_that!(granted, len(eq(1)), "{seq}");
         pool.release(at(now), key(seq), End::Crashed);
         now += rest;
         if rest > 0 {
             let early = key(10 + seq);
-            pool.ask(at(now - 100), early, suspect(7), &mut actions);
+            pool.acquire(at(now - 100), early, suspect(7), &mut actions);
             expect_that!(self::granted(&mut pool, at(now - 100)), is_empty());
             pool.release(at(now - 100), early, End::Left);
         }
@@ -323,24 +323,24 @@
 fn release_crashed_neighbours() {
     let mut pool = pool(2);
     let mut actions = Vec::new();
-    let neighbour = Ask {
+    let neighbour = Requirements {
         request: OTHER,
         avoid: vec!["e1".into()],
-        ..ask(Class::Online, 5_000)
+        ..requirements(Class::Online, 5_000)
     };
-    let killer = Ask {
+    let killer = Requirements {
         avoid: vec!["e1".into()],
         ..suspect(1)
     };
-    pool.ask(at(0), key(0), killer, &mut actions);
-    pool.ask(at(0), key(1), neighbour.clone(), &mut actions);
+    pool.acquire(at(0), key(0), killer, &mut actions);
+    pool.acquire(at(0), key(1), neighbour.clone(), &mut actions);
     expect_that!(granted(&mut pool, at(0)), len(eq(2)));
     pool.release(at(50), key(0), End::Crashed);
     pool.release(at(50), key(1), End::Crashed);
-    let again = Ask {
+    let again = Requirements {
         avoid: vec!["e0".into()],
         ..neighbour
     };
-    pool.ask(at(50), key(2), again, &mut actions);
+    pool.acquire(at(50), key(2), again, &mut actions);
     expect_that!(granted(&mut pool, at(50)), len(eq(1)));
 }
--- a/tests/quarantine_explore/fleet.rs
+++ b/tests/quarantine_explore/fleet.rs
@@ -7,7 +7,7 @@
 
 use auburnspoke::catalog::Endpoint;
 use auburnspoke::clock::Time;
-use auburnspoke::pool::message::{Ask, Class, End};
+use auburnspoke::pool::message::{Class, End, Requirements};
 use auburnspoke::pool::{Action, Key, Pool};
 use auburnspoke::quarantine::Fingerprint;
 use auburnspoke::quarantine::evidence::{Added, Crash, Evidence, Moment, Standing};
@@ -356,11 +356,11 @@
             gateway: SocketAddr::from(([10, 0, 0, 1], u16::try_from(node).unwrap())),
             seq: self.seq,
         };
-        let ask = Ask {
+        let ask = Requirements {
             class: Class::Online,
             priority: 0,
             zone: "z".into(),
-            patience: Duration::from_millis(230),
+            max_wait: Duration::from_millis(230),
             due: Duration::from_secs(5),
             prefix: 0,
             organisation: 0,
@@ -377,7 +377,7 @@
         };
         self.waiting.insert(key, waiting);
         let mut actions = Vec::new();
-        self.pool.ask(time(self.now), key, ask, &mut actions);
+        self.pool.acquire(time(self.now), key, ask, &mut actions);
         self.act(actions);
     }
 
--- a/tests/route_router.rs
+++ b/tests/route_router.rs
@@ -111,9 +111,9 @@
     let mut router = router(9);
     let blocks: Vec<u64> = (100..140).collect();
     for block in blocks.iter().filter(|block| **block != 101) {
-        router.cache("e4", *block, true);
+        router.record_cache_event("e4", *block, true);
     }
-    router.cache("e2", 100, true);
+    router.record_cache_event("e2", 100, true);
     let query = Query {
         blocks: &blocks,
         ..query()
@@ -130,7 +130,7 @@
     let slow = |name: &str| Some(if name == "e2" { 600 } else { 60 });
     drive(&mut router, 1_000, 2_000, slow);
     expect_that!(
-        router.ejections(),
+        router.take_ejections(),
         contains(eq(&("e2".into(), Cause::Slow)))
     );
     let after = drive(&mut router, 21_000, 500, slow);
@@ -145,7 +145,7 @@
     let stuck = |name: &str| (name != "e5").then_some(60);
     drive(&mut router, 1_000, 600, stuck);
     expect_that!(
-        router.ejections(),
+        router.take_ejections(),
         contains(eq(&("e5".into(), Cause::Stuck)))
     );
     expect_false!(router.is_healthy("e5"));
@@ -184,13 +184,13 @@
     // Few questions come. Spread over all endpoints they would slow, and be
     // slowed by, the batch work of each of them.
     let mut router = router(9);
-    router.weigh(SERVICE, 80);
+    router.set_latency_weight(SERVICE, 80);
     for at in 0..9 {
         let load = Load {
             slots: 64,
             ..Load::default()
         };
-        router.loaded(Time::from_millis(900), &format!("e{at}"), load);
+        router.record_load(Time::from_millis(900), &format!("e{at}"), load);
     }
     let chosen = drive(&mut router, 1_000, 900, |_| Some(50));
     expect_that!(router.packed(SERVICE), le(3));
@@ -202,7 +202,7 @@
     // A burst crowds the packed endpoints. The loads that come back with first
     // tokens must widen the choice before they do.
     let mut router = router(9);
-    router.weigh(SERVICE, 80);
+    router.set_latency_weight(SERVICE, 80);
     let now = Time::from_millis(1_000);
     router.pick(now, &query());
     let load = Load {
@@ -210,7 +210,7 @@
         slots: 64,
         ..Load::default()
     };
-    router.loaded(now, "e3", load);
+    router.record_load(now, "e3", load);
     router.pick(Time::from_millis(1_300), &query());
     expect_that!(router.packed(SERVICE), ge(5));
 }
@@ -218,6 +218,6 @@
 #[gtest]
 fn pack_spread_at_full_weight() {
     let mut router = router(9);
-    router.weigh(SERVICE, 100);
+    router.set_latency_weight(SERVICE, 100);
     expect_that!(router.packed(SERVICE), eq(9));
 }
--- a/tests/support/pool.rs
+++ b/tests/support/pool.rs
@@ -6,7 +6,7 @@
 
 use auburnspoke::catalog::Endpoint;
 use auburnspoke::clock::Time;
-use auburnspoke::pool::message::{Ask, Class};
+use auburnspoke::pool::message::{Class, Requirements};
 use auburnspoke::pool::{Key, Pool};
 use auburnspoke::quarantine::Fingerprint;
 
@@ -33,12 +33,12 @@
 }
 
 /// What a request of the zone `a` asks that waits for 230 ms.
-pub fn ask(class: Class, due_ms: u64) -> Ask {
-    Ask {
+pub fn requirements(class: Class, due_ms: u64) -> Requirements {
+    Requirements {
         class,
         priority: 0,
         zone: "a".into(),
-        patience: Duration::from_millis(230),
+        max_wait: Duration::from_millis(230),
         due: Duration::from_millis(due_ms),
         prefix: 0,
         organisation: 0,
