--- a/src/attempt.rs
+++ b/src/attempt.rs
@@ -106,12 +106,12 @@
     }
 
     /// True while no endpoint can have run it.
-    pub fn is_unrun(&self) -> bool {
+    pub fn is_not_run(&self) -> bool {
         self.runs == 0
     }
 
     /// True when a silent endpoint may be given up for another one.
-    pub fn may_move(&self) -> bool {
+    pub fn can_fail_over(&self) -> bool {
         let possible = match self.repeat {
             Repeat::Never => false,
             Repeat::Whole => !self.begun,
@@ -121,18 +121,18 @@
     }
 
     /// An endpoint is about to get the request.
-    pub fn sending(&mut self) {
+    pub fn start_run(&mut self) {
         self.runs += 1;
     }
 
     /// The caller gets the head of an answer.
-    pub fn begin(&mut self) {
+    pub fn start_answer(&mut self) {
         self.begun = true;
     }
 
     /// The caller gets more, up to the event `last`. What carries no number
     /// can't be gone on behind: the next run would repeat or skip it.
-    pub fn passed(&mut self, last: Option<u64>) {
+    pub fn forwarded(&mut self, last: Option<u64>) {
         self.placed = last.is_some();
         self.last = last.or(self.last);
     }
@@ -146,7 +146,7 @@
         let time = self.deadline.since(now) > LEAST_LEFT;
         let again = match failure {
             Failure::NotRun => self.not_run < NOT_RUN_TRIES,
-            Failure::Lost | Failure::Answered => self.may_move(),
+            Failure::Lost | Failure::Answered => self.can_fail_over(),
         };
         if again && time {
             return Next::Again;
--- a/src/batch/run.rs
+++ b/src/batch/run.rs
@@ -16,10 +16,10 @@
 use crate::event;
 use crate::permit::{Claim, Permit};
 use crate::platform::forward::{self, Forward, Verdict};
-use crate::pool::message::{Class, End, Requirements};
-use crate::quarantine::evidence::Standing;
+use crate::pool::message::{Ask, Class, End};
+use crate::quarantine::detector::Run;
+use crate::quarantine::evidence::Status;
 use crate::quarantine::loss::Finding;
-use crate::quarantine::ward::Run;
 use crate::split::{self, Splitter};
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
@@ -53,12 +53,12 @@
         return requeue(&jobs, &work, item, "no_route");
     };
     let ward = Rc::clone(&jobs.setup.ward);
-    let request = work.fingerprint(item);
-    let suspect = match ward.standing(request) {
-        Standing::Condemned => return suspend(&jobs, &work, item),
-        Standing::Held(_) => return requeue(&jobs, &work, item, "held"),
-        Standing::Suspect => true,
-        Standing::Clear => false,
+    let request = work.print(item);
+    let suspect = match ward.status(request) {
+        Status::Condemned => return condemned(&jobs, &work, item),
+        Status::Held(_) => return back(&jobs, &work, item, "held"),
+        Status::Suspect => true,
+        Status::Clear => false,
     };
     let now = jobs.now();
     let want = Claim {
@@ -95,9 +95,9 @@
     let exit = tokio::select! {
         // Reclaiming the slot has priority.
         biased;
-        () = permit.stopped() => Exit::Stopped,
-        () = ward.condemned(request) => Exit::Condemned,
-        exit = exchange(&work, item, &forward, &permit) => exit,
+        () = permit.stopped() => Ended::Stopped,
+        () = ward.until_condemned(request) => Ended::Condemned,
+        ended = exchange(&work, item, &forward, &permit) => ended,
     };
     let took = jobs.now().since(began);
     work.run_time.borrow_mut()[item] += took;
@@ -112,14 +112,14 @@
                 ran: took,
                 why,
             };
-            match ward.lost(&permit.endpoint, run).await {
-                Finding::Crashed => Exit::Interrupted(End::Crashed, why),
-                Finding::Innocent | Finding::Open => Exit::Interrupted(End::Error, why),
+            match ward.investigate(&permit.endpoint, run).await {
+                Finding::Crashed => Ended::Broken(End::Crashed, why),
+                Finding::NotCrashed | Finding::Undecided => Ended::Broken(End::Error, why),
             }
         }
-        Exit::Done => {
-            ward.sound(request);
-            Exit::Done
+        Ended::Done => {
+            ward.completed(request);
+            Ended::Done
         }
         exit => exit,
     };
--- a/src/batch/shell.rs
+++ b/src/batch/shell.rs
@@ -27,7 +27,7 @@
 use crate::name::Name;
 use crate::permit::Broker;
 use crate::platform::store::Client;
-use crate::quarantine::Ward;
+use crate::quarantine::Detector;
 use crate::snapshot::Cell;
 use crate::table::{Changes, Feed};
 
@@ -62,9 +62,9 @@
     /// Retention period of results.
     pub result_retention: Duration,
     /// Admission control.
-    pub desk: Rc<Broker>,
-    /// The quarantine for requests that crash endpoints.
-    pub ward: Rc<Ward>,
+    pub desk: Rc<Desk>,
+    /// The quarantine.
+    pub ward: Rc<Detector>,
     /// Configuration and endpoints.
     pub catalog: Arc<Cell<Catalog>>,
     /// The member list.
--- a/src/catalog.rs
+++ b/src/catalog.rs
@@ -13,8 +13,8 @@
 use crate::clock::{Time, Uptime};
 use crate::name::Name;
 
-pub mod book;
 pub mod keyring;
+pub mod registry;
 
 use keyring::Keyring;
 
@@ -188,5 +188,5 @@
     /// When the list of endpoints was last confirmed by its source.
     pub confirmed: Time,
     /// When the store surely had no newer configuration than this one.
-    pub vouched: Option<Uptime>,
+    pub config_confirmed: Option<Uptime>,
 }
--- a/src/catalog/book.rs
+++ b/src/catalog/registry.rs
@@ -52,7 +52,7 @@
 
 /// The endpoints as this node believes them to be.
 #[derive(Debug, Default)]
-pub struct Book {
+pub struct Registry {
     known: BTreeMap<Name, Known>,
     removed: BTreeMap<Name, u64>,
     /// The version of the last whole list. What it lacked was gone by then, so
@@ -62,7 +62,7 @@
     doubtful_until: Time,
 }
 
-impl Book {
+impl Registry {
     /// The store could not be read at `now`.
     pub fn store_failed(&mut self, now: Time) {
         // Moves on with each failure, so that it ends a grace after the last.
--- a/src/config/commit.rs
+++ b/src/config/commit.rs
@@ -74,22 +74,24 @@
         match self {
             Self::Invalid(problems) => {
                 let lines: Vec<String> = problems.iter().map(ToString::to_string).collect();
-                Outcome::NotRun(Refusal::new(Reason::Invalid).because(lines.join("\n")))
+                Outcome::NotRun(Refusal::new(Reason::Invalid).with_message(lines.join("\n")))
+            }
+            Self::Conflict { current } => {
+                Outcome::NotRun(Refusal::new(Reason::Conflict).with_message(format!(
+                    "the current version is {current}; read it and try again"
+                )))
             }
-            Self::Conflict { current } => Outcome::NotRun(Refusal::new(Reason::Conflict).because(
-                format!("the current version is {current}; read it and try again"),
-            )),
             Self::Refused { retry_after } => {
                 Outcome::NotRun(Refusal::new(Reason::Platform).after(retry_after))
             }
             Self::Isolated => Outcome::NotRun(
                 Refusal::new(Reason::NotReady)
-                    .because("this node hears fewer than half of the others; ask another one"),
+                    .with_message("this node hears fewer than half of the others; ask another one"),
             ),
             Self::Unknown => Outcome::MayHaveRun(
                 Refusal::new(Reason::Platform)
                     .after(RETRY_AFTER)
-                    .because("the change may have been accepted; look at the history"),
+                    .with_message("the change may have been accepted; look at the history"),
             ),
         }
     }
--- a/src/dispatch/shell.rs
+++ b/src/dispatch/shell.rs
@@ -28,9 +28,9 @@
 use crate::name::Name;
 use crate::node::work::{Guard, Work};
 use crate::outcome::{Outcome, Reason, Refusal};
-use crate::quarantine::evidence::{Crash, Moment};
+use crate::quarantine::evidence::{Crash, Stage};
 use crate::quarantine::record::Observation;
-use crate::quarantine::standings as quarantine;
+use crate::quarantine::statuses as quarantine;
 use crate::request::{Answer, Body, Request};
 use crate::snapshot;
 
@@ -393,8 +393,8 @@
             endpoint: name.clone(),
             incarnation,
         };
-        let observation = Observation::Crashed(print, crash.clone(), Moment::of(ran));
-        self.quarantine.tell_first(observation).await;
+        let observation = Observation::Crashed(print, crash.clone(), Stage::of(ran));
+        self.quarantine.report_and_wait(observation).await;
         Some(crash)
     }
 
--- a/src/edge.rs
+++ b/src/edge.rs
@@ -22,7 +22,7 @@
 use crate::clock::{Clock, unix_millis};
 use crate::dispatch;
 use crate::event;
-use crate::feed::desk;
+use crate::feed::reader;
 use crate::feed::source::{self, Source};
 use crate::leave::Phase;
 use crate::link::Pool;
@@ -35,7 +35,7 @@
 use crate::platform::settings;
 use crate::platform::store::Client;
 use crate::platform::{config, endpoint};
-use crate::quarantine::{self, Ward, ward};
+use crate::quarantine::{self, Detector, detector};
 use crate::site::Site;
 use crate::snapshot::Cell;
 use crate::table::{Table as _, Transaction};
@@ -62,28 +62,27 @@
 
 /// Interval at which a shutdown checks whether all work has ended.
 const STOP_POLL: Duration = Duration::from_millis(50);
-/// Capacity of the queue of other nodes' queries.
-const QUERY_QUEUE: usize = 64;
-/// Capacity of the channels that carry notes between the two threads.
-const NOTE_QUEUE: usize = 256;
-/// Tables whose changes nodes relay to each other, with the shortest interval between two reads
-/// of each. A configuration must be in force within seconds, so it is read almost immediately;
-/// endpoints and jobs change many times per second, and reading several changes at once is
-/// cheaper.
-const TOPICS: &[desk::Topic] = &[
-    desk::Topic {
+/// Questions of other nodes that may wait.
+const QUESTIONS: usize = 64;
+/// Notes that may wait between the threads.
+const NOTES: usize = 256;
+/// The tables that nodes follow for each other. A configuration is to be in
+/// force within seconds, so it is read on at once; endpoints leave and jobs grow
+/// by many changes a second, which are cheaper read together.
+const TOPICS: &[reader::Topic] = &[
+    reader::Topic {
         table: config::TABLE,
         gap: Duration::from_millis(50),
     },
-    desk::Topic {
+    reader::Topic {
         table: endpoint::TABLE,
         gap: Duration::from_millis(100),
     },
-    desk::Topic {
+    reader::Topic {
         table: batch::record::TABLE,
         gap: Duration::from_millis(150),
     },
-    desk::Topic {
+    reader::Topic {
         table: quarantine::record::TABLE,
         gap: Duration::from_millis(100),
     },
@@ -313,8 +312,8 @@
             log::error!("{} why=\"{error}\"", event::LISTEN_FAILED);
         }
     });
-    let desk = desk::Desk::new(shared.clock, Client::new(address), TOPICS);
-    actix_rt::spawn(answer(queued, Rc::clone(&learner), desk));
+    let desk = reader::Reader::new(shared.clock, Client::new(address), TOPICS);
+    actix_rt::spawn(answer(asked, Rc::clone(&learner), desk));
     let store = Client::new(address);
     let roster = Rc::new(roster::Registration::new(store, setup.me.vm()));
     let registration = Rc::clone(&roster);
@@ -329,16 +328,16 @@
 async fn answer(
     mut queries: mpsc::Receiver<PendingQuery>,
     learner: Rc<Learner>,
-    desk: Rc<desk::Desk<Client>>,
+    desk: Rc<reader::Reader<Client>>,
 ) {
     while let Some(PendingQuery { query, reply }) = queries.recv().await {
         let answer = match query {
             Query::Changes { table, after } => {
                 let desk = Rc::clone(&desk);
                 actix_rt::spawn(async move {
-                    let changes = desk.tell(&table, after).await;
-                    // An error means that the querying node has disconnected.
-                    let _ = reply.send(Reply::Changes(changes));
+                    let told = desk.answer(&table, after).await;
+                    // A failure means that the asker has gone.
+                    let _ = reply.send(Reply::Changes(told));
                 });
                 continue;
             }
@@ -382,7 +381,7 @@
             tolerance: shared.site.bounds.tolerance,
         });
         actix_rt::spawn(Rc::clone(&desk).run());
-        let ward = Ward::new(ward::Setup {
+        let ward = Detector::new(detector::Setup {
             me: shared.me.clone(),
             clock: shared.clock,
             store: Client::new(shared.site.store.address),
--- a/src/edge/learn.rs
+++ b/src/edge/learn.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::sleep;
 
-use crate::catalog::book::{Book, Entry};
+use crate::catalog::registry::{Entry, Registry};
 use crate::catalog::{Catalog, Config, Endpoint};
 use crate::clock::{Clock, Time, Uptime};
 use crate::event;
@@ -173,7 +173,7 @@
 
 #[derive(Default)]
 struct State {
-    book: Book,
+    book: Registry,
     config: Option<Arc<Config>>,
     /// When the store or a peer last confirmed the endpoints.
     confirmed: Time,
@@ -321,7 +321,7 @@
             config: state.config.clone(),
             endpoints: Arc::clone(&state.endpoints),
             confirmed: state.confirmed,
-            vouched: state.vouched,
+            config_confirmed: state.vouched,
         });
     }
 
@@ -409,9 +409,9 @@
     (entries, unreadable)
 }
 
-/// Marks the endpoints of unparsable rows as unusable: such a row gives no valid address.
-fn mark_unreadable(book: &mut Book, unreadable: &[Unreadable]) {
-    for Unreadable { id, version, why } in unreadable {
+/// Takes rows that can't be read: they name no endpoint to use.
+fn refuse(book: &mut Registry, others: &[Unreadable]) {
+    for Unreadable { id, version, why } in others {
         log::warn!("{} key={id} why=\"{why}\"", event::ROW_UNREADABLE);
         book.refuse(id, *version);
     }
--- a/src/edge/node.rs
+++ b/src/edge/node.rs
@@ -11,8 +11,8 @@
 use crate::leave::Phase;
 use crate::member::View;
 use crate::name::Name;
-use crate::permit::Broker;
-use crate::quarantine::Ward;
+use crate::permit::Desk;
+use crate::quarantine::Detector;
 use crate::site::Site;
 use crate::snapshot::Cell;
 
@@ -35,7 +35,7 @@
     /// The metrics.
     pub count: Count,
     /// The quarantine.
-    pub ward: Rc<Ward>,
+    pub ward: Rc<Detector>,
     /// The batch jobs.
     pub jobs: Rc<Jobs>,
 }
@@ -49,7 +49,7 @@
             .config
             .as_ref()
             .is_some_and(|it| it.keyring.is_some());
-        !keyed || identity::is_sure(&catalog, Uptime::now(), self.site.bounds.revoke)
+        !keyed || identity::is_fresh(&catalog, Uptime::now(), self.site.bounds.revoke)
     }
 
     /// True once the node has begun to shut down.
--- a/src/edge/relay.rs
+++ b/src/edge/relay.rs
@@ -32,9 +32,9 @@
 use crate::platform::forward::{self, Forward, Verdict};
 use crate::pool::message::End;
 use crate::quarantine::Fingerprint;
-use crate::quarantine::evidence::Standing;
+use crate::quarantine::detector::Run;
+use crate::quarantine::evidence::Status;
 use crate::quarantine::loss::Finding;
-use crate::quarantine::ward::Run;
 use crate::split::Splitter;
 
 mod admit;
@@ -168,14 +168,14 @@
         loop {
             let now = self.node.clock.now();
             let left = self.attempt.deadline().since(now);
-            if let Standing::Held(wait) = ward.standing(request) {
+            if let Status::Held(wait) = ward.status(request) {
                 sleep(wait.min(left)).await;
             }
             let left = self.attempt.deadline().since(self.node.clock.now());
             let want = self.want(now, left);
             let admitted = tokio::select! {
                 biased;
-                () = ward.condemned(request) => return self.reject_condemned().await,
+                () = ward.until_condemned(request) => return self.condemned().await,
                 admitted = timeout(left, self.admit(want)) => admitted,
             };
             let permit = match admitted {
@@ -194,13 +194,13 @@
             let began = self.node.clock.now();
             let ended = tokio::select! {
                 biased;
-                () = ward.condemned(request) => return self.reject_condemned().await,
+                () = ward.until_condemned(request) => return self.condemned().await,
                 ended = self.exchange(&permit) => ended,
             };
             let (next, why) = match ended {
                 Ended::Complete => {
                     permit.finish(End::Done);
-                    ward.sound(request);
+                    ward.completed(request);
                     return self.log_done(&endpoint);
                 }
                 Ended::Disconnected => return,
@@ -225,7 +225,7 @@
                     permit.finish(end);
                     let now = self.node.clock.now();
                     let next = self.attempt.failed(now, failure);
-                    self.mark_spent(!self.attempt.is_unrun());
+                    self.spend(!self.attempt.is_not_run());
                     (next, why)
                 }
             };
@@ -249,9 +249,9 @@
     async fn exchange(&mut self, permit: &Permit) -> Ended {
         let deadline = self.attempt.deadline();
         let endpoint = &permit.endpoint;
-        self.attempt.sending();
-        // Set before anything is sent, because this task may be aborted at any await point.
-        self.mark_spent(true);
+        self.attempt.start_run();
+        // Before anything is sent: this task may end at any point.
+        self.spend(true);
         let opened = connect::open(endpoint.address, CONNECT_TIMEOUT).await;
         let Ok(mut conn) = opened else {
             return Ended::Failed(Failure::NotRun, End::Failed, "connect");
@@ -283,10 +283,10 @@
         }
     }
 
-    /// How long an endpoint may be silent: until the deadline if the request can't be retried
-    /// elsewhere.
-    fn silence_limit(&self, usual: Duration, left: Duration) -> Duration {
-        if self.attempt.may_move() {
+    /// How long an endpoint may be silent: for good where nothing else can be
+    /// tried.
+    fn silence(&self, usual: Duration, left: Duration) -> Duration {
+        if self.attempt.can_fail_over() {
             usual.min(left)
         } else {
             left
@@ -358,7 +358,7 @@
             }
             let bytes = match &mut splitter {
                 None => {
-                    self.attempt.passed(None);
+                    self.attempt.forwarded(None);
                     bytes
                 }
                 Some(splitter) => match splitter.push(&bytes) {
@@ -367,7 +367,7 @@
                         if self.is_repeated(events.first) {
                             return Ended::Failed(Failure::Lost, End::Error, "event_order");
                         }
-                        self.attempt.passed(events.last);
+                        self.attempt.forwarded(events.last);
                         events.bytes
                     }
                     Err(_) => return Ended::Failed(Failure::Lost, End::Error, "event_size"),
@@ -397,9 +397,9 @@
             ran: self.node.clock.now().since(began),
             why,
         };
-        match self.node.ward.lost(endpoint, run).await {
+        match self.node.ward.investigate(endpoint, run).await {
             Finding::Crashed => End::Crashed,
-            Finding::Innocent | Finding::Open => End::Error,
+            Finding::NotCrashed | Finding::Undecided => End::Error,
         }
     }
 
@@ -425,7 +425,7 @@
         let Some(sender) = self.head.take() else {
             return;
         };
-        self.attempt.begin();
+        self.attempt.start_answer();
         let took = self.node.clock.now().since(self.call.arrived);
         self.node.count.first_event(took);
         self.first = Some(took);
--- a/src/feed.rs
+++ b/src/feed.rs
@@ -8,12 +8,12 @@
 //! no more. All of it is soft state. A node whose readers are silent, late or
 //! behind reads the store by itself, as it would without them.
 //!
-//! [`shelf`] and [`choice`] decide, [`desk`] and [`source`] act;
+//! [`buffer`] and [`selector`] decide, [`desk`] and [`source`] act;
 //! docs/design/feed.md weighs the ways.
 
-pub mod choice;
-pub mod desk;
-pub mod shelf;
+pub mod buffer;
+pub mod reader;
+pub mod selector;
 pub mod source;
 
 use serde::{Deserialize, Serialize};
@@ -23,7 +23,7 @@
 
 /// What a reader answers to [`crate::wire::query::Query::Changes`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Told {
+pub enum Answer {
     /// Everything that changed since the version that was asked about.
     Changes(Changes),
     /// The reader does not know what followed on that version.
@@ -34,13 +34,13 @@
     Foreign,
 }
 
-impl Told {
+impl Answer {
     /// Says how long before `now` the store was asked. Whoever is told counts
     /// back from its own question, which was sent before `now`: however long the
     /// answer is on its way, or its sender suspended, it never seems newer than
     /// it is.
     #[must_use]
-    pub fn dated(mut self, now: Uptime) -> Self {
+    pub fn with_age(mut self, now: Uptime) -> Self {
         if let Self::Changes(changes) = &mut self {
             changes.asked_ago = changes.asked.map(|asked| now.since(asked));
         }
--- a/src/feed/shelf.rs
+++ b/src/feed/buffer.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use super::Told;
+use super::Answer;
 use crate::clock::{Time, Uptime};
 use crate::table::{Change, Changes};
 
@@ -20,7 +20,7 @@
 
 /// Changes of one table from a version on.
 #[derive(Debug)]
-pub struct Shelf {
+pub struct Buffer {
     /// Every change after this version is here.
     base: u64,
     version: u64,
@@ -34,7 +34,7 @@
     failed: Option<Time>,
 }
 
-impl Shelf {
+impl Buffer {
     /// An empty shelf for whoever knows the table as of `version`.
     pub fn new(version: u64) -> Self {
         Self {
@@ -81,14 +81,14 @@
     }
 
     /// What followed on `version`; nothing while that is not known yet.
-    pub fn since(&self, now: Time, version: u64) -> Option<Told> {
+    pub fn since(&self, now: Time, version: u64) -> Option<Answer> {
         if version < self.base || version > self.version {
-            return Some(Told::Gap);
+            return Some(Answer::Gap);
         }
         let (heard, clock) = match (self.heard, self.failed) {
             // What is known may be old, and the one who asks may reach the store.
-            (Some((heard, _)), Some(failed)) if failed >= heard => return Some(Told::Stale),
-            (None, Some(_)) => return Some(Told::Stale),
+            (Some((heard, _)), Some(failed)) if failed >= heard => return Some(Answer::Stale),
+            (None, Some(_)) => return Some(Answer::Stale),
             (None, None) => return None,
             (Some(heard), _) => heard,
         };
@@ -96,7 +96,7 @@
             .changes
             .partition_point(|change| change.version <= version);
         let failed_ago = self.failed.map(|failed| now.since(failed));
-        Some(Told::Changes(Changes {
+        Some(Answer::Changes(Changes {
             changes: self.changes.range(from..).cloned().collect(),
             version: self.version,
             clock,
--- a/src/feed/desk.rs
+++ b/src/feed/reader.rs
@@ -8,8 +8,8 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep, timeout_at};
 
-use super::Told;
-use super::shelf::Shelf;
+use super::Answer;
+use super::buffer::Buffer;
 use crate::clock::{Clock, Time, Uptime};
 use crate::event;
 use crate::table::{Fault, Feed, FeedError};
@@ -35,7 +35,7 @@
 }
 
 /// The tables that this node follows for others.
-pub struct Desk<F> {
+pub struct Reader<F> {
     clock: Clock,
     feed: F,
     tables: &'static [Topic],
@@ -43,13 +43,13 @@
 }
 
 struct Followed {
-    shelf: RefCell<Shelf>,
+    buffer: RefCell<Buffer>,
     /// Told whenever the store answered or failed.
     news: Notify,
     asked: Cell<Time>,
 }
 
-impl<F> Desk<F>
+impl<F> Reader<F>
 where
     F: Feed + Clone + 'static,
 {
@@ -65,15 +65,15 @@
 
     /// What followed on `version` of a table. Waits for the next news of the
     /// store when nothing is known yet.
-    pub async fn tell(self: &Rc<Self>, table: &str, version: u64) -> Told {
+    pub async fn answer(self: &Rc<Self>, table: &str, version: u64) -> Answer {
         let told = self.find(table, version).await;
-        told.dated(Uptime::now())
+        told.with_age(Uptime::now())
     }
 
-    async fn find(self: &Rc<Self>, table: &str, version: u64) -> Told {
+    async fn find(self: &Rc<Self>, table: &str, version: u64) -> Answer {
         let Some(topic) = self.tables.iter().find(|topic| topic.table == table) else {
             log::warn!("{} table={table}", event::FEED_REFUSED);
-            return Told::Foreign;
+            return Answer::Foreign;
         };
         let followed = self.followed(*topic, version);
         followed.asked.set(self.clock.now());
@@ -82,28 +82,28 @@
             let news = followed.news.notified();
             tokio::pin!(news);
             news.as_mut().enable();
-            let told = followed.shelf.borrow().since(self.clock.now(), version);
+            let told = followed.buffer.borrow().since(self.clock.now(), version);
             let waits = match &told {
                 None => true,
-                Some(Told::Changes(_)) => !followed.shelf.borrow().is_behind(version),
+                Some(Answer::Changes(_)) => !followed.buffer.borrow().is_behind(version),
                 Some(_) => false,
             };
             if !waits {
-                return told.unwrap_or(Told::Stale);
+                return told.unwrap_or(Answer::Stale);
             }
             if timeout_at(until, news).await.is_err() {
-                return Told::Stale;
+                return Answer::Stale;
             }
             // Also news without a change are news: they tell that the table is
             // still as it was.
-            if let Some(told) = followed.shelf.borrow().since(self.clock.now(), version) {
+            if let Some(told) = followed.buffer.borrow().since(self.clock.now(), version) {
                 return told;
             }
         }
     }
 
     /// True while a table is followed for others.
-    pub fn follows(&self, table: &str) -> bool {
+    pub fn is_following(&self, table: &str) -> bool {
         self.followed.borrow().contains_key(table)
     }
 
@@ -112,7 +112,7 @@
             return Rc::clone(followed);
         }
         let followed = Rc::new(Followed {
-            shelf: RefCell::new(Shelf::new(version)),
+            buffer: RefCell::new(Buffer::new(version)),
             news: Notify::new(),
             asked: Cell::new(self.clock.now()),
         });
@@ -132,16 +132,16 @@
             if self.clock.now().since(followed.asked.get()) > UNUSED {
                 break "unused";
             }
-            let version = followed.shelf.borrow().version();
+            let version = followed.buffer.borrow().version();
             let pause = match self.feed.changes(topic.table, version, READ_WAIT).await {
                 Ok(changes) => {
                     let now = self.clock.now();
-                    followed.shelf.borrow_mut().add(now, changes);
+                    followed.buffer.borrow_mut().add(now, changes);
                     topic.gap
                 }
-                Err(FeedError::Gone) => break "history_dropped",
-                Err(FeedError::Fault(fault)) => {
-                    followed.shelf.borrow_mut().fail(self.clock.now());
+                Err(Lapse::Gone) => break "history_dropped",
+                Err(Lapse::Fault(fault)) => {
+                    followed.buffer.borrow_mut().fail(self.clock.now());
                     match fault {
                         Fault::Refused { retry_after } => retry_after,
                         Fault::Conflict { .. } | Fault::Unknown => FAILED_PAUSE,
@@ -154,7 +154,7 @@
         log::info!("{} table={} why={why}", event::FEED_ENDED, topic.table);
         self.followed.borrow_mut().remove(topic.table);
         // Whoever waits asks the store.
-        followed.shelf.borrow_mut().fail(self.clock.now());
+        followed.buffer.borrow_mut().fail(self.clock.now());
         followed.news.notify_waiters();
     }
 }
--- a/src/feed/choice.rs
+++ b/src/feed/selector.rs
@@ -39,11 +39,11 @@
 
 /// The readers that a node asks, and which of them it passes over.
 #[derive(Debug, Default)]
-pub struct Choice {
+pub struct Selector {
     avoided: HashMap<Name, Time>,
 }
 
-impl Choice {
+impl Selector {
     /// Passes a reader over for a while.
     pub fn avoid(&mut self, now: Time, reader: &Name, fault: Fault) {
         let pause = match fault {
--- a/src/feed/source.rs
+++ b/src/feed/source.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::Told;
-use super::choice::{Choice, Fault};
+use super::Answer;
+use super::selector::{Fault, Selector};
 use crate::clock::{Clock, Uptime};
 use crate::edge::count::Count;
 use crate::event;
@@ -55,7 +55,7 @@
     store: F,
     links: A,
     setup: Setup,
-    choice: RefCell<Choice>,
+    selector: RefCell<Selector>,
 }
 
 impl<F, A> Source<F, A>
@@ -69,7 +69,7 @@
             store,
             links,
             setup,
-            choice: RefCell::default(),
+            selector: RefCell::default(),
         }
     }
 
@@ -80,8 +80,8 @@
             let (name, link) = {
                 let view = setup.view.read();
                 let now = setup.clock.now();
-                let choice = self.choice.borrow();
-                let reader = choice.reader(now, &setup.me, &setup.zone, &view)?;
+                let selector = self.selector.borrow();
+                let reader = selector.reader(now, &setup.me, &setup.zone, &view)?;
                 (reader.name.clone(), reader.link.clone())
             };
             let query = Query::Changes {
@@ -90,7 +90,7 @@
             };
             let sent = Uptime::now();
             let (fault, why) = match self.links.ask(&link, query, ANSWER).await {
-                Some(Reply::Changes(Told::Changes(mut changes))) => {
+                Some(Reply::Changes(Answer::Changes(mut changes))) => {
                     if follows(version, &changes) {
                         changes.asked = changes.asked_ago.map(|ago| sent - ago);
                         setup.count.feed("told");
@@ -98,11 +98,11 @@
                     }
                     (Fault::Wrong, "wrong")
                 }
-                Some(Reply::Changes(Told::Gap)) => {
+                Some(Reply::Changes(Answer::Gap)) => {
                     setup.count.feed("gap");
                     return None;
                 }
-                Some(Reply::Changes(Told::Stale)) => (Fault::Stale, "stale"),
+                Some(Reply::Changes(Answer::Stale)) => (Fault::Stale, "stale"),
                 None | Some(Reply::Busy) => (Fault::Silent, "silent"),
                 Some(_) => (Fault::Wrong, "foreign"),
             };
@@ -112,7 +112,7 @@
                 event::FEED_PASSED_OVER
             );
             let now = setup.clock.now();
-            self.choice.borrow_mut().avoid(now, &name, fault);
+            self.selector.borrow_mut().avoid(now, &name, fault);
         }
     }
 }
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -19,7 +19,7 @@
 use crate::dispatch::Handle;
 use crate::event;
 use crate::leave::Phase;
-use crate::limit::{Bound, Demand, Gate, Grant, Limiter};
+use crate::limit::{Admission, Bound, Demand, Grant, Limiter};
 use crate::link::Pool;
 use crate::member::View;
 use crate::metric::Metrics;
@@ -28,9 +28,9 @@
 use crate::once::{self, Marks};
 use crate::outcome::{Outcome, Reason, Refusal};
 use crate::quarantine::Fingerprint;
-use crate::quarantine::evidence::Moment;
+use crate::quarantine::evidence::Stage;
 use crate::quarantine::record::Observation;
-use crate::quarantine::standings as quarantine;
+use crate::quarantine::statuses as quarantine;
 use crate::request::{Answer, Body, Piece, Request};
 use crate::retry::{self, Budget};
 use crate::route::{Router, Target};
@@ -115,7 +115,7 @@
     links: Rc<Pool>,
     router: RefCell<Router>,
     limiter: RefCell<Limiter>,
-    gate: RefCell<Gate>,
+    gate: RefCell<Admission>,
     budget: RefCell<Budget>,
     last_attempt: Cell<u64>,
     version: Cell<u64>,
@@ -143,7 +143,7 @@
             links: Pool::new(shared.node.clone()),
             router: RefCell::new(Router::new(shared.zone.clone(), rand::random())),
             limiter: RefCell::new(Limiter::new(1)),
-            gate: RefCell::new(Gate::new(MAX_IN_FLIGHT)),
+            gate: RefCell::new(Admission::new(CAPACITY)),
             budget: RefCell::default(),
             avoided: RefCell::default(),
             last_attempt: Cell::new(0),
@@ -207,7 +207,7 @@
             outcome = self.admit(request, pieces) => outcome,
             // Dropping the request cancels it at the endpoint.
             _ = cut.wait_for(|cut| *cut) => Outcome::MayHaveRun(
-                Refusal::new(Reason::NotReady).because("the node is shutting down; use another address"),
+                Refusal::new(Reason::NotReady).with_message("the node stops; use another address"),
             ),
         };
         if let Outcome::NotRun(refusal) | Outcome::MayHaveRun(refusal) = &outcome {
@@ -284,8 +284,8 @@
             if remaining.is_zero() {
                 return conclude(ran, Refusal::new(Reason::Deadline));
             }
-            if self.is_condemned(fingerprint).await {
-                let refusal = Refusal::new(Reason::Invalid).because(
+            if self.is_condemned(print).await {
+                let refusal = Refusal::new(Reason::Invalid).with_message(
                     "endpoints that run this request crash; it is not run any more, so don't \
                      send it again",
                 );
@@ -326,7 +326,7 @@
 
     /// Returns true if the request must not run. Waits for the verdict if one is pending.
     async fn is_condemned(&self, request: Fingerprint) -> bool {
-        let standings = self.shared.quarantine.standings();
+        let standings = self.shared.quarantine.statuses();
         while standings.read().is_held(request) {
             actix_rt::time::sleep(VERDICT_POLL_INTERVAL).await;
         }
@@ -336,22 +336,16 @@
     /// Records a crash that the endpoint's dispatcher, possibly on another node, reported.
     async fn report_crash(&self, request: Fingerprint, refusal: &Refusal, began: Time) {
         if let Some(crash) = &refusal.crash {
-            let moment = Moment::of(self.shared.clock.now().since(began));
+            let moment = Stage::of(self.shared.clock.now().since(began));
             let crashed = Observation::Crashed(request, crash.clone(), moment);
-            self.shared.quarantine.tell_first(crashed).await;
+            self.shared.quarantine.report_and_wait(crashed).await;
         }
     }
 
-    fn report_sound(&self, request: Fingerprint) {
-        if self
-            .shared
-            .quarantine
-            .standings()
-            .read()
-            .is_suspect(request)
-        {
-            let sound = Observation::Sound(request);
-            self.shared.quarantine.tell(sound);
+    fn tell_sound(&self, request: Fingerprint) {
+        if self.shared.quarantine.statuses().read().is_suspect(request) {
+            let sound = Observation::Completed(request);
+            self.shared.quarantine.report(sound);
         }
     }
 
@@ -370,7 +364,7 @@
             count: tried.count,
             once: request.once,
             time_left: deadline.since(self.shared.clock.now()),
-            elsewhere: endpoints.any(|endpoint| !tried.failed.contains(&endpoint.name)),
+            has_alternative: endpoints.any(|endpoint| !tried.failed.contains(&endpoint.name)),
         };
         if tried.crowded.is_some() {
             // The endpoint refused immediately because it was crowded. Trying another one costs
@@ -379,12 +373,12 @@
             return Ok(Duration::ZERO);
         }
         match retry::decide(failure, &attempt, &mut self.budget.borrow_mut()) {
-            retry::Decision::Again { wait } => {
+            retry::Decision::Retry { wait } => {
                 self.shared.metrics.retry(request.class, refusal.reason);
                 log::debug!("{} {refusal}", event::REQUEST_RETRIED);
                 Ok(wait)
             }
-            retry::Decision::Final(_) => Err(refusal),
+            retry::Decision::GiveUp(_) => Err(refusal),
         }
     }
 
@@ -454,8 +448,8 @@
 /// Returns a refusal if the service is unknown, or of another kind than the body.
 pub fn complete(config: &Document, request: &mut Request) -> Result<(), Refusal> {
     let Some(service) = config.services.get(&request.service) else {
-        return Err(Refusal::new(Reason::UnknownService).because(format!(
-            "there is no service `{}`; list them with `auburnspoke service list`",
+        return Err(Refusal::new(Reason::UnknownService).with_message(format!(
+            "there is no service `{}`; `auburnspoke service list` names them",
             request.service
         )));
     };
@@ -471,9 +465,9 @@
         }
         (Body::Call { .. }, Kind::Plain) => Ok(()),
         (Body::Prompt { .. }, Kind::Plain) => Err(Refusal::new(Reason::Invalid)
-            .because("the service is a plain service; send a path and a body instead of a prompt")),
+            .with_message("the service is a plain one; name a path and a body, not a prompt")),
         (Body::Call { .. }, Kind::Model) => Err(Refusal::new(Reason::Invalid)
-            .because("the service is a model; send a prompt instead of a path")),
+            .with_message("the service is a model; name a prompt, not a path")),
     }
 }
 
--- a/src/gateway/guard.rs
+++ b/src/gateway/guard.rs
@@ -27,7 +27,7 @@
         let now = gateway.shared.clock.now();
         gateway.limiter.borrow_mut().admit(now, &organisation)?;
         let mut gate = gateway.gate.borrow_mut();
-        if let Err(refusal) = gate.enter(request.class, &organisation) {
+        if let Err(refusal) = gate.admit(request.class, &organisation) {
             gateway.limiter.borrow_mut().release(&organisation);
             return Err(refusal);
         }
@@ -40,7 +40,7 @@
 
 impl Drop for Admission<'_> {
     fn drop(&mut self) {
-        self.gateway.gate.borrow_mut().leave(&self.organisation);
+        self.gateway.gate.borrow_mut().release(&self.organisation);
         self.gateway
             .limiter
             .borrow_mut()
--- a/src/identity.rs
+++ b/src/identity.rs
@@ -58,12 +58,12 @@
 
 /// How long ago the configuration was surely the newest.
 pub fn age(catalog: &Catalog, now: Uptime) -> Option<Duration> {
-    catalog.vouched.map(|at| now.since(at))
+    catalog.config_confirmed.map(|at| now.since(at))
 }
 
 /// True while this node may let keys through; `revoke` is the time within which
 /// a revocation must be in force, none where only reachable nodes must heed it.
-pub fn is_sure(catalog: &Catalog, now: Uptime, revoke: Option<Duration>) -> bool {
+pub fn is_fresh(catalog: &Catalog, now: Uptime, revoke: Option<Duration>) -> bool {
     let Some(revoke) = revoke else {
         return true;
     };
@@ -90,7 +90,7 @@
         Credential::Key(key) => keyring.find(&key.digest()).cloned(),
         Credential::None | Credential::Unreadable(_) => None,
     };
-    if found.is_some() && is_sure(catalog, now, revoke) {
+    if found.is_some() && is_fresh(catalog, now, revoke) {
         return Ok(found);
     }
     if public {
--- a/src/job/accept.rs
+++ b/src/job/accept.rs
@@ -154,7 +154,7 @@
         }
         let refusal = Refusal::new(Reason::Platform)
             .after(LOST_ANSWER_WAIT)
-            .because("the platform's answer was lost; send the job again with the same key");
+            .with_message("the platform's answer was lost; send the job again with the same key");
         Outcome::MayHaveRun(refusal)
     }
 }
@@ -175,19 +175,19 @@
             "{name:?} can't be a name: use 1 to {} letters, digits, '-', '_', '.' or ':'",
             name::MAX_LEN
         );
-        return Err(Refusal::new(Reason::Invalid).because(message));
+        return Err(Refusal::new(Reason::Invalid).with_message(message));
     }
     if submission.items.is_empty() {
-        return Err(Refusal::new(Reason::Invalid).because("a job needs at least one item"));
+        return Err(Refusal::new(Reason::Invalid).with_message("a job needs at least one item"));
     }
     if submission.items.len() > MAX_ITEMS {
         let message = format!("a job may have {MAX_ITEMS} items; split it");
-        return Err(Refusal::new(Reason::TooLarge).because(message));
+        return Err(Refusal::new(Reason::TooLarge).with_message(message));
     }
     let long = |item: &Item| item.prompt.len() > MAX_PROMPT_BYTES;
     if let Some(number) = submission.items.iter().position(long) {
-        let message = format!("item {number} has a prompt above {MAX_PROMPT_BYTES} bytes");
-        return Err(Refusal::new(Reason::TooLarge).because(message));
+        let message = format!("item {number} has a prompt above {MAX_PROMPT} bytes");
+        return Err(Refusal::new(Reason::TooLarge).with_message(message));
     }
     distinct(&submission.items)
 }
@@ -202,7 +202,7 @@
                 "two items have the key {:?}; keys name one item each",
                 pair[0]
             );
-            Err(Refusal::new(Reason::Invalid).because(message))
+            Err(Refusal::new(Reason::Invalid).with_message(message))
         }
         None => Ok(()),
     }
@@ -255,7 +255,7 @@
         return Outcome::Done(accepted(&found, resent));
     }
     let message = "this key is taken by a job with other content; choose another key";
-    Outcome::NotRun(Refusal::new(Reason::Conflict).because(message))
+    Outcome::NotRun(Refusal::new(Reason::Conflict).with_message(message))
 }
 
 fn accepted(job: &Job, resent: bool) -> Accepted {
--- a/src/job/cancel.rs
+++ b/src/job/cancel.rs
@@ -82,7 +82,7 @@
     let refusal = accept::platform(fault);
     if lost {
         let message = "the platform's answer was lost; cancel again to learn what became of it";
-        return Outcome::MayHaveRun(refusal.because(message));
+        return Outcome::MayHaveRun(refusal.with_message(message));
     }
     Outcome::NotRun(refusal)
 }
--- a/src/job/read.rs
+++ b/src/job/read.rs
@@ -93,7 +93,7 @@
             Ok(Some(reply)) => Outcome::Done(reply),
             Ok(None) => {
                 let message = format!("the job has no item {item:?}");
-                Outcome::NotRun(Refusal::new(Reason::Invalid).because(message))
+                Outcome::NotRun(Refusal::new(Reason::Invalid).with_message(message))
             }
             Err(fault) => Outcome::NotRun(accept::platform(&fault)),
         }
--- a/src/limit.rs
+++ b/src/limit.rs
@@ -20,26 +20,26 @@
 use crate::member::{Member, View};
 use crate::name::Name;
 
+mod admission;
 pub mod allowance;
 pub mod bucket;
-mod gate;
-pub mod keeper;
+pub mod coordinator;
+pub mod isolation;
 mod limiter;
 pub mod meter;
 mod owner;
-pub mod reach;
 
-pub use gate::Gate;
+pub use admission::Admission;
 pub use limiter::Limiter;
 pub use owner::Owner;
 
 /// What a node that is cut off lets through, of its equal part of a limit: others
 /// may reach a keeper all the while, which lets all of the limit through.
-const ALONE_PART: f64 = 0.25;
+const ISOLATED_FRACTION: f64 = 0.25;
 /// How often a gateway reports an organisation that asks something of it.
-pub const REPORT_EVERY: Duration = Duration::from_secs(1);
+pub const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 /// How long a share holds; some reports may get lost meanwhile.
-pub const GRANT_HOLDS: Duration = Duration::from_secs(4);
+pub const GRANT_TTL: Duration = Duration::from_secs(4);
 
 /// What is asked of one gateway by one organisation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -124,7 +124,7 @@
 
 impl Tolerance {
     /// What may be sent beside a limit at all times.
-    pub fn more(&self, rate: Rate) -> Rate {
+    pub fn headroom(&self, rate: Rate) -> Rate {
         Rate {
             per_second: rate.per_second * self.excess * MORE,
             burst: rate.burst * self.excess * MORE + self.slack * MORE,
@@ -133,7 +133,7 @@
 
     /// Requests beyond the limit that a keeper may let through of whose past
     /// nobody knows anything.
-    pub fn spare(&self, rate: Rate) -> f64 {
+    pub fn initial_excess(&self, rate: Rate) -> f64 {
         let all = rate.per_second * self.window.as_secs_f64() + rate.burst;
         all * self.excess / 8.0 + self.slack / 16.0
     }
--- a/src/limit/gate.rs
+++ b/src/limit/admission.rs
@@ -19,13 +19,13 @@
 /// Without it an overloaded gateway would run out of memory, and one noisy
 /// organisation could fill it for all others.
 #[derive(Debug)]
-pub struct Gate {
+pub struct Admission {
     capacity: u32,
     total: u32,
     running: HashMap<Name, u32>,
 }
 
-impl Gate {
+impl Admission {
     /// A gate for `capacity` requests at a time.
     pub fn new(capacity: u32) -> Self {
         Self {
@@ -35,11 +35,11 @@
         }
     }
 
-    /// Lets a request in, which [`Gate::leave`] must end.
+    /// Lets a request in, which [`Admission::leave`] must end.
     ///
     /// # Errors
     /// [`Reason::Overloaded`] with when to come back; nothing has run.
-    pub fn enter(&mut self, class: Class, organisation: &Name) -> Result<(), Refusal> {
+    pub fn admit(&mut self, class: Class, organisation: &Name) -> Result<(), Refusal> {
         let own = self.running.get(organisation).copied().unwrap_or(0);
         if !self.admits(class, own) {
             return Err(Refusal::new(Reason::Overloaded).after(RETRY_AFTER));
@@ -50,7 +50,7 @@
     }
 
     /// A request that was let in has ended.
-    pub fn leave(&mut self, organisation: &str) {
+    pub fn release(&mut self, organisation: &str) {
         let Some(own) = self.running.get_mut(organisation) else {
             return;
         };
--- a/src/limit/allowance.rs
+++ b/src/limit/allowance.rs
@@ -29,7 +29,7 @@
     /// What a limit allows at `now`: all of it, or `first` requests.
     pub fn new(now: Time, rate: Rate, tolerance: Tolerance, first: Option<f64>) -> Self {
         let Rate { per_second, burst } = rate;
-        let more = tolerance.more(rate);
+        let more = tolerance.headroom(rate);
         Self {
             limit: Bucket::new(now, per_second, burst.max(1.0), first.unwrap_or(burst)),
             tolerance: Bucket::new(now, more.per_second, more.burst, {
@@ -40,7 +40,7 @@
 
     /// Allows another limit from now on.
     pub fn resize(&mut self, now: Time, rate: Rate, tolerance: Tolerance) {
-        let more = tolerance.more(rate);
+        let more = tolerance.headroom(rate);
         self.limit.resize(now, rate.per_second, rate.burst.max(1.0));
         self.tolerance.resize(now, more.per_second, more.burst);
     }
@@ -60,10 +60,10 @@
     }
 
     /// A request did not run.
-    pub fn put_back(&mut self, now: Time, source: Source) {
+    pub fn refund(&mut self, now: Time, source: Source) {
         match source {
-            Source::Limit => self.limit.put_back(now),
-            Source::Tolerance => self.tolerance.put_back(now),
+            Source::Limit => self.limit.refund(now),
+            Source::Tolerance => self.tolerance.refund(now),
         }
     }
 
--- a/src/limit/bucket.rs
+++ b/src/limit/bucket.rs
@@ -64,7 +64,7 @@
     }
 
     /// Puts a token back that was not used.
-    pub fn put_back(&mut self, now: Time) {
+    pub fn refund(&mut self, now: Time) {
         self.fill(now);
         self.tokens = (self.tokens + 1.0).min(self.capacity);
     }
--- a/src/limit/keeper.rs
+++ b/src/limit/coordinator.rs
@@ -39,7 +39,7 @@
 
 /// What a gateway asks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Question {
+pub struct Query {
     /// The organisation.
     #[serde(rename = "o")]
     pub organisation: Name,
@@ -67,27 +67,27 @@
 
 /// What a keeper decides of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ruling {
+pub enum Decision {
     /// It is counted and may run.
     #[serde(rename = "p")]
-    Pass,
+    Allow,
     /// It is over the limit; so long until there is room.
     #[serde(rename = "o")]
-    Over(Duration),
+    Deny(Duration),
     /// The keeper has just started and can't tell.
     #[serde(rename = "u")]
     Unsettled,
     /// The keeper is this node, which is cut off from the others of so many nodes.
     #[serde(rename = "a")]
-    Alone(usize),
+    Isolated(usize),
 }
 
 /// What a keeper says.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Verdict {
+pub struct Answer {
     /// Of the request.
     #[serde(rename = "r")]
-    pub ruling: Ruling,
+    pub decision: Decision,
     /// Tokens left.
     #[serde(rename = "t")]
     pub tokens: f64,
@@ -111,7 +111,7 @@
 }
 
 /// The limits that this node keeps for all others.
-pub struct Keeper {
+pub struct Coordinator {
     started: Time,
     tolerance: Tolerance,
     terms: HashMap<u64, Term>,
@@ -124,7 +124,7 @@
     accounts: HashMap<Name, Account>,
 }
 
-impl Keeper {
+impl Coordinator {
     /// Keeps none yet, in a process that started at `started`.
     pub fn new(started: Time, tolerance: Tolerance) -> Self {
         Self {
@@ -143,7 +143,7 @@
     /// their questions unanswered, and lets next to nothing through itself: when all
     /// nodes restart at once each takes itself, or one of the few that it sees, for
     /// the keeper of every limit, and together they would let a multiple of it through.
-    pub fn see(&mut self, now: Time, nodes: usize) {
+    pub fn set_node_count(&mut self, now: Time, nodes: usize) {
         if nodes != self.nodes {
             self.nodes = nodes;
             self.changed = now;
@@ -158,7 +158,7 @@
     }
 
     /// Counts a request. The same one may be asked about again.
-    pub fn take(&mut self, now: Time, key: Key, question: &Question) -> Verdict {
+    pub fn take(&mut self, now: Time, key: Key, question: &Query) -> Answer {
         if !self.settled {
             return self.take_early(key, question);
         }
@@ -168,25 +168,26 @@
             .accounts
             .entry(question.organisation.clone())
             .or_insert_with(|| {
-                let first = (!known).then(|| FIRST_TOKENS + tolerance.spare(question.rate));
+                let first =
+                    (!known).then(|| FIRST_TOKENS + tolerance.initial_excess(question.rate));
                 Account::new(now, first, tolerance, question)
             });
         account.asked = now;
         account.follow(now, tolerance, question);
         account.forget(now);
-        let ruling = match account.take(now, key) {
-            Ok(()) => Ruling::Pass,
-            Err(wait) => Ruling::Over(wait),
+        let decision = match account.take(now, key) {
+            Ok(()) => Decision::Allow,
+            Err(wait) => Decision::Deny(wait),
         };
-        Verdict {
-            ruling,
+        Answer {
+            decision,
             tokens: account.allowance.level(now),
         }
     }
 
     /// Lets an organisation's first request through at some of the processes that
     /// don't know the members yet.
-    fn take_early(&mut self, key: Key, question: &Question) -> Verdict {
+    fn take_early(&mut self, key: Key, question: &Query) -> Answer {
         let first = match self.early.get(&question.organisation) {
             Some(first) => Some(*first),
             None if is_chosen(key, question) => {
@@ -195,13 +196,13 @@
             }
             None => None,
         };
-        let ruling = if first == Some(key) {
-            Ruling::Pass
+        let decision = if first == Some(key) {
+            Decision::Allow
         } else {
-            Ruling::Unsettled
+            Decision::Unsettled
         };
-        Verdict {
-            ruling,
+        Answer {
+            decision,
             tokens: 0.0,
         }
     }
@@ -227,12 +228,12 @@
     }
 
     /// A request that was let through did not run.
-    pub fn put_back(&mut self, now: Time, key: Key, organisation: &Name) {
+    pub fn refund(&mut self, now: Time, key: Key, organisation: &Name) {
         let Some(account) = self.accounts.get_mut(organisation) else {
             return;
         };
         if let Some((_, source)) = account.passed.remove(&key) {
-            account.allowance.put_back(now, source);
+            account.allowance.refund(now, source);
         }
     }
 
@@ -255,7 +256,7 @@
 
 /// One of some nodes that have just started lets an organisation's first request
 /// through, since all of them may be asked.
-fn is_chosen(key: Key, question: &Question) -> bool {
+fn is_chosen(key: Key, question: &Query) -> bool {
     let seed = key.gateway.port().into();
     let address = key.gateway.ip().to_string();
     let mixed = xxh3_64_with_seed(address.as_bytes(), seed);
@@ -263,7 +264,7 @@
 }
 
 impl Account {
-    fn new(now: Time, first: Option<f64>, tolerance: Tolerance, question: &Question) -> Self {
+    fn new(now: Time, first: Option<f64>, tolerance: Tolerance, question: &Query) -> Self {
         Self {
             allowance: Allowance::new(now, question.rate, tolerance, first),
             rate: question.rate,
@@ -275,7 +276,7 @@
     }
 
     /// Takes the newest limit, and what another keeper let through.
-    fn follow(&mut self, now: Time, tolerance: Tolerance, question: &Question) {
+    fn follow(&mut self, now: Time, tolerance: Tolerance, question: &Query) {
         if question.version > self.version {
             self.version = question.version;
             if question.rate != self.rate {
--- a/src/limit/reach.rs
+++ b/src/limit/isolation.rs
@@ -18,14 +18,14 @@
 
 /// The nodes that were seen lately.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Reach {
+pub struct Isolation {
     most: usize,
     seen: Time,
 }
 
-impl Reach {
+impl Isolation {
     /// Takes the number of nodes that are seen now.
-    pub fn see(&mut self, now: Time, nodes: usize) {
+    pub fn set_node_count(&mut self, now: Time, nodes: usize) {
         if nodes >= self.most || now.since(self.seen) > REMEMBERED {
             self.most = nodes;
             self.seen = now;
@@ -39,7 +39,7 @@
 
     /// True when this node seems to be cut off: it heard of the store `heard` ago,
     /// and of another node `asked` ago.
-    pub fn is_cut(&self, heard: Option<Duration>, asked: Duration) -> bool {
+    pub fn is_isolated(&self, heard: Option<Duration>, asked: Duration) -> bool {
         self.most > 1 && heard.is_some_and(|ago| ago >= HEARD) && asked >= QUIET
     }
 }
--- a/src/limit/limiter.rs
+++ b/src/limit/limiter.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::bucket::Bucket;
-use super::{Bound, Demand, GRANT_HOLDS, Grant, REPORT_EVERY};
+use super::{Bound, Demand, GRANT_TTL, Grant, REPORT_INTERVAL};
 use crate::clock::Time;
 use crate::name::Name;
 use crate::outcome::{Reason, Refusal};
@@ -83,7 +83,7 @@
         account.peak = account.peak.max(account.running + 1);
         let share = account.share(now, bound, nodes);
         if bound.concurrency > 0 && account.running >= share.concurrency {
-            return Err(refusal("too many questions at a time", REPORT_EVERY));
+            return Err(refusal("too many questions at a time", REPORT_INTERVAL));
         }
         if bound.rate > 0 {
             account.take(now, share.rate)?;
@@ -148,7 +148,7 @@
     /// question, so that a first one need not wait for the owner.
     fn share(&self, now: Time, bound: Bound, nodes: u32) -> Grant {
         match self.grant {
-            Some((grant, at)) if now.since(at) < GRANT_HOLDS => grant,
+            Some((grant, at)) if now.since(at) < GRANT_TTL => grant,
             _ => Grant {
                 rate: bound.rate as f32 / nodes as f32,
                 concurrency: (bound.concurrency / nodes).max(1),
@@ -163,16 +163,16 @@
         let taken = self.bucket.take(now);
         taken.map_err(|wait| {
             // A share of nothing may grow with the next report.
-            let wait = if rate > 0.0 { wait } else { REPORT_EVERY };
+            let wait = if rate > 0.0 { wait } else { REPORT_INTERVAL };
             refusal("too many questions a second", wait)
         })
     }
 
     fn report(&mut self, now: Time) -> Option<Demand> {
         let passed = match self.reported {
-            Some(at) if now.since(at) < REPORT_EVERY => return None,
+            Some(at) if now.since(at) < REPORT_INTERVAL => return None,
             Some(at) => now.since(at),
-            None => REPORT_EVERY,
+            None => REPORT_INTERVAL,
         };
         let newest = self.asked as f32 / passed.as_secs_f32();
         self.rate = match self.reported {
@@ -193,5 +193,5 @@
 fn refusal(message: &str, wait: Duration) -> Refusal {
     Refusal::new(Reason::Limited)
         .after(wait.max(MIN_WAIT))
-        .because(message)
+        .with_message(message)
 }
--- a/src/limit/meter.rs
+++ b/src/limit/meter.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 use super::bucket::Bucket;
-use super::keeper::{Hint, Ruling, Verdict};
-use super::{ALONE_PART, Rate, Tolerance};
+use super::coordinator::{Answer, Decision, Hint};
+use super::{ISOLATED_FRACTION, Rate, Tolerance};
 use crate::clock::Time;
 use crate::name::Name;
 
@@ -62,13 +62,13 @@
     }
 
     /// How long an organisation's bucket surely has no room.
-    pub fn dry(&mut self, now: Time, organisation: &Name) -> Option<Duration> {
+    pub fn exhausted_for(&mut self, now: Time, organisation: &Name) -> Option<Duration> {
         let account = self.account(now, organisation);
         (now < account.dry_until).then(|| account.dry_until.since(now))
     }
 
     /// True when an organisation was over its limit a moment ago.
-    pub fn is_suspicious(&self, now: Time, organisation: &Name) -> bool {
+    pub fn was_over_limit(&self, now: Time, organisation: &Name) -> bool {
         let over = self.accounts.get(organisation).and_then(|it| it.over);
         over.is_some_and(|at| now.since(at) < SUSPICIOUS)
     }
@@ -81,24 +81,30 @@
     }
 
     /// A keeper answered.
-    pub fn heard(&mut self, now: Time, organisation: &Name, keeper: SocketAddr, verdict: Verdict) {
+    pub fn record_answer(
+        &mut self,
+        now: Time,
+        organisation: &Name,
+        keeper: SocketAddr,
+        verdict: Answer,
+    ) {
         let account = self.account(now, organisation);
-        if matches!(verdict.ruling, Ruling::Pass | Ruling::Over(_)) {
+        if matches!(verdict.decision, Decision::Allow | Decision::Deny(_)) {
             account.heard = Some((keeper, verdict.tokens, now));
         }
-        match verdict.ruling {
-            Ruling::Over(wait) => {
+        match verdict.decision {
+            Decision::Deny(wait) => {
                 account.over = Some(now);
                 account.dry_until = now + wait.min(MOST_DRY);
             }
-            Ruling::Pass => account.passed += 1.0,
-            Ruling::Unsettled | Ruling::Alone(_) => {}
+            Decision::Allow => account.passed += 1.0,
+            Decision::Unsettled | Decision::Isolated(_) => {}
         }
     }
 
     /// Decides without a keeper, at one of `nodes`; `chance` lies between 0 and 1.
     /// True when this node's part has room.
-    pub fn alone(
+    pub fn take_isolated(
         &mut self,
         now: Time,
         organisation: &Name,
@@ -107,10 +113,10 @@
         chance: f64,
     ) -> bool {
         let nodes = nodes.max(1) as f64;
-        let spare = self.tolerance.spare(rate) * ALONE_SPARE;
+        let spare = self.tolerance.initial_excess(rate) * ALONE_SPARE;
         let account = self.account(now, organisation);
         let (all, capacity) = (
-            rate.per_second * ALONE_PART / nodes,
+            rate.per_second * ISOLATED_FRACTION / nodes,
             (rate.burst / nodes).max(1.0),
         );
         let first = if chance < spare / nodes { 1.0 } else { 0.0 };
--- a/src/limit/owner.rs
+++ b/src/limit/owner.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use super::{Bound, Demand, GRANT_HOLDS, Grant};
+use super::{Bound, Demand, GRANT_TTL, Grant};
 use crate::clock::Time;
 use crate::name::Name;
 
@@ -35,7 +35,7 @@
         demand: Demand,
     ) -> Grant {
         let parts = self.parts.entry(Name::clone(organisation)).or_default();
-        parts.retain(|_, part| now.since(part.at) < GRANT_HOLDS);
+        parts.retain(|_, part| now.since(part.at) < GRANT_TTL);
         let mut others = (Demand::default(), Grant::default());
         for (_, part) in parts.iter().filter(|(name, _)| *name != node) {
             others.0.rate += part.demand.rate;
@@ -69,7 +69,7 @@
     /// Forgets organisations that nobody asks for any more.
     pub fn sweep(&mut self, now: Time) {
         self.parts.retain(|_, parts| {
-            parts.retain(|_, part| now.since(part.at) < GRANT_HOLDS);
+            parts.retain(|_, part| now.since(part.at) < GRANT_TTL);
             !parts.is_empty()
         });
     }
--- a/src/link.rs
+++ b/src/link.rs
@@ -220,7 +220,7 @@
 fn lost(written: bool, why: &str) -> Event {
     let refusal = Refusal::new(Reason::LinkFailed)
         .after(RETRY_AFTER)
-        .because(format!(
+        .with_message(format!(
             "the link between two nodes failed ({why}); come back"
         ));
     let outcome = if written {
--- a/src/node.rs
+++ b/src/node.rs
@@ -28,7 +28,7 @@
 use crate::member::tuning::Tuning;
 use crate::member::{Member, State, View};
 use crate::metric::Metrics;
-use crate::quarantine::standings as quarantine;
+use crate::quarantine::statuses as quarantine;
 use crate::settings::Settings;
 use crate::snapshot::Cell;
 use crate::table::http::Client;
--- a/src/node/control.rs
+++ b/src/node/control.rs
@@ -23,8 +23,8 @@
 use crate::member::shell::{self, Event, Handle, Setup};
 use crate::name::Name;
 use crate::placement;
-use crate::placement::run::Context;
-use crate::quarantine::standings as quarantine;
+use crate::placement::run::Site;
+use crate::quarantine::statuses as quarantine;
 use crate::table::Vm;
 use crate::table::http::Client;
 use crate::wire::control::Note;
@@ -60,7 +60,7 @@
     /// Turns true when an operator drains this node.
     pub drain: watch::Sender<bool>,
     /// What this node saw of endpoints that ended.
-    pub observed: mpsc::Receiver<quarantine::Told>,
+    pub observed: mpsc::Receiver<quarantine::Report>,
 }
 
 /// The control thread's services.
--- a/src/once.rs
+++ b/src/once.rs
@@ -21,7 +21,7 @@
 
 mod group;
 
-pub use group::{Fate, Group, Verdict};
+pub use group::{Group, Status, Step};
 
 /// When to come back after the platform's answer was lost for good.
 const LOST_ANSWER_WAIT: Duration = Duration::from_secs(1);
@@ -70,7 +70,7 @@
 #[derive(Debug)]
 struct Waiting {
     row: String,
-    told: oneshot::Sender<(Fate, String)>,
+    reply: oneshot::Sender<(Status, String)>,
 }
 
 /// A mark that is one's own.
@@ -109,26 +109,28 @@
         for name in [&key.organisation, &key.key] {
             if !name::is_valid(name) {
                 let message = format!("{name:?} can't be part of a key");
-                return Err(Refusal::new(Reason::Invalid).because(message));
+                return Err(Refusal::new(Reason::Invalid).with_message(message));
             }
         }
-        let (told, fate) = oneshot::channel();
+        let (reply, status) = oneshot::channel();
         self.queue.borrow_mut().waiting.push_back(Waiting {
             row: key.row(),
-            told,
+            reply,
         });
         self.work();
-        let (fate, token) = fate.await.unwrap_or((Fate::Unsure, String::new()));
-        match fate {
-            Fate::Marked => Ok(Mark {
+        let (status, token) = status.await.unwrap_or((Status::Unknown, String::new()));
+        match status {
+            Status::Marked => Ok(Mark {
                 row: key.row(),
                 token,
             }),
-            Fate::Taken => Err(Refusal::new(Reason::AlreadyRun)),
-            Fate::Refused(wait) => Err(Refusal::new(Reason::Platform).after(wait)),
-            Fate::Unsure => Err(Refusal::new(Reason::Platform)
+            Status::Exists => Err(Refusal::new(Reason::AlreadyRun)),
+            Status::Refused(wait) => Err(Refusal::new(Reason::Platform).after(wait)),
+            Status::Unknown => Err(Refusal::new(Reason::Platform)
                 .after(LOST_ANSWER_WAIT)
-                .because("the mark's answer was lost; it was not run, and its key may be used up")),
+                .with_message(
+                    "the mark's answer was lost; it was not run, and its key may be used up",
+                )),
         }
     }
 
@@ -175,13 +177,13 @@
                     all.check(row, Expect::Absent).put(row, token.clone())
                 });
             let answer = self.table.transact(transaction).await;
-            if let Verdict::Read(row) = group.answered(&answer) {
+            if let Step::Read(row) = group.apply_answer(&answer) {
                 let found = self.table.get(&row).await;
-                group.read(&row, &found.map(|row| row.map(|row| row.value)));
+                group.apply_row(&row, &found.map(|row| row.map(|row| row.value)));
             }
         }
-        for ((waiting, token), fate) in waiting.into_iter().zip(group.fates()) {
-            let _ = waiting.told.send((fate, token));
+        for ((waiting, token), status) in waiting.into_iter().zip(group.statuses()) {
+            let _ = waiting.reply.send((status, token));
         }
     }
 
--- a/src/once/group.rs
+++ b/src/once/group.rs
@@ -13,22 +13,22 @@
 
 /// What became of one mark.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum Status {
     /// It is there, and ours: the request may be sent.
     Marked,
     /// Another one was there before.
-    Taken,
+    Exists,
     /// It is not there and will not be; come back after this long.
     Refused(Duration),
     /// It may be there. Nobody may send the request.
-    Unsure,
+    Unknown,
 }
 
 /// What to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Step {
     /// Go on with [`Group::open`].
-    Go,
+    Continue,
     /// Read this row, and tell what it has.
     Read(String),
 }
@@ -44,7 +44,7 @@
 struct Mark {
     row: String,
     token: String,
-    fate: Option<Fate>,
+    status: Option<Status>,
 }
 
 impl Group {
@@ -62,7 +62,7 @@
             group.push(Mark {
                 row,
                 token,
-                fate: taken.then_some(Fate::Taken),
+                status: taken.then_some(Status::Exists),
             });
         }
         Self {
@@ -73,7 +73,7 @@
 
     /// The marks to insert next, if any is left.
     pub fn open(&self) -> Option<Vec<(String, String)>> {
-        let open = self.marks.iter().filter(|mark| mark.fate.is_none());
+        let open = self.marks.iter().filter(|mark| mark.status.is_none());
         let open: Vec<_> = open
             .map(|mark| (mark.row.clone(), mark.token.clone()))
             .collect();
@@ -81,55 +81,55 @@
     }
 
     /// Takes the answer to the transaction of all open marks.
-    pub fn answered(&mut self, answer: &Result<u64, Fault>) -> Verdict {
+    pub fn apply_answer(&mut self, answer: &Result<u64, Fault>) -> Step {
         match answer {
-            Ok(_) => self.settle(Fate::Marked),
-            Err(Fault::Conflict { key, .. }) => return Verdict::Read(key.clone()),
+            Ok(_) => self.settle(Status::Marked),
+            Err(Fault::Conflict { key, .. }) => return Step::Read(key.clone()),
             Err(Fault::Refused { retry_after }) if self.lost == 0 => {
-                self.settle(Fate::Refused(*retry_after));
+                self.settle(Status::Refused(*retry_after));
             }
             // An earlier try may have taken effect, so the refusal of this one
             // does not say that the mark is not there.
-            Err(Fault::Refused { .. }) => self.settle(Fate::Unsure),
+            Err(Fault::Refused { .. }) => self.settle(Status::Unknown),
             Err(Fault::Unknown) => {
                 self.lost += 1;
                 if self.lost >= MAX_LOST {
-                    self.settle(Fate::Unsure);
+                    self.settle(Status::Unknown);
                 }
             }
         }
-        Verdict::Go
+        Step::Continue
     }
 
     /// Takes what the row has whose mark was in conflict.
-    pub fn read(&mut self, row: &str, found: &Result<Option<Bytes>, Fault>) {
+    pub fn apply_row(&mut self, row: &str, found: &Result<Option<Bytes>, Fault>) {
         let Some(mark) = self
             .marks
             .iter_mut()
-            .find(|mark| mark.row == row && mark.fate.is_none())
+            .find(|mark| mark.row == row && mark.status.is_none())
         else {
             return;
         };
-        mark.fate = match found {
+        mark.status = match found {
             // Our own earlier try, whose answer was lost.
-            Ok(Some(value)) if **value == *mark.token.as_bytes() => Some(Fate::Marked),
-            Ok(Some(_)) => Some(Fate::Taken),
+            Ok(Some(value)) if **value == *mark.token.as_bytes() => Some(Status::Marked),
+            Ok(Some(_)) => Some(Status::Exists),
             // It was removed meanwhile; the next try decides.
             Ok(None) => None,
-            Err(_) => Some(Fate::Unsure),
+            Err(_) => Some(Status::Unknown),
         };
     }
 
     /// The fates, in the order of the marks.
-    pub fn fates(&self) -> impl Iterator<Item = Fate> {
+    pub fn statuses(&self) -> impl Iterator<Item = Status> {
         self.marks
             .iter()
-            .map(|mark| mark.fate.unwrap_or(Fate::Unsure))
+            .map(|mark| mark.status.unwrap_or(Status::Unknown))
     }
 
-    fn settle(&mut self, fate: Fate) {
+    fn settle(&mut self, status: Status) {
         for mark in &mut self.marks {
-            mark.fate = mark.fate.or(Some(fate));
+            mark.status = mark.status.or(Some(status));
         }
     }
 }
--- a/src/outcome.rs
+++ b/src/outcome.rs
@@ -167,7 +167,7 @@
 
     /// The same, telling a person more than the reason does.
     #[must_use]
-    pub fn because<M>(mut self, message: M) -> Self
+    pub fn with_message<M>(mut self, message: M) -> Self
     where
         M: Into<String>,
     {
--- a/src/permit/count.rs
+++ b/src/permit/count.rs
@@ -17,7 +17,7 @@
 use crate::catalog::keyring::Organisation;
 use crate::clock::Time;
 use crate::event;
-use crate::limit::keeper::{self, Ruling, Verdict};
+use crate::limit::coordinator::{self, Answer, Decision};
 use crate::limit::{self, Rate};
 use crate::name::Name;
 use crate::pool::message::Question;
@@ -104,7 +104,7 @@
         let now = self.clock.now();
         self.meter
             .borrow()
-            .is_suspicious(now, &limited.organisation.name)
+            .was_over_limit(now, &limited.organisation.name)
     }
 
     /// Counts a request. Dropping the future withdraws.
@@ -114,7 +114,7 @@
     pub async fn count(self: &Rc<Self>, limited: Limited) -> Result<Token, Denial> {
         let now = self.clock.now();
         let organisation = limited.organisation.name.clone();
-        if let Some(wait) = self.meter.borrow_mut().dry(now, &organisation) {
+        if let Some(wait) = self.meter.borrow_mut().exhausted_for(now, &organisation) {
             return Err(Denial::Over(wait));
         }
         let seq = self.next.get();
@@ -142,19 +142,19 @@
     }
 
     /// A keeper answered.
-    pub(super) fn counted(&self, now: Time, from: SocketAddr, seq: u64, verdict: Verdict) {
+    pub(super) fn counted(&self, now: Time, from: SocketAddr, seq: u64, verdict: Answer) {
         let Some(counting) = self.counting.borrow_mut().remove(&seq) else {
             return;
         };
         let organisation = &counting.limited.organisation.name;
         self.meter
             .borrow_mut()
-            .heard(now, organisation, from, verdict);
-        let result = match verdict.ruling {
-            Ruling::Alone(nodes) => self.decide_alone(now, &counting.limited, nodes),
-            Ruling::Pass => Ok(Some(from)),
-            Ruling::Over(wait) => Err(Denial::Over(wait)),
-            Ruling::Unsettled => Err(Denial::Unsettled),
+            .record_answer(now, organisation, from, verdict);
+        let result = match verdict.decision {
+            Decision::Isolated(nodes) => self.decide_alone(now, &counting.limited, nodes),
+            Decision::Allow => Ok(Some(from)),
+            Decision::Deny(wait) => Err(Denial::Over(wait)),
+            Decision::Unsettled => Err(Denial::Unsettled),
         };
         let passed = result.is_ok();
         if counting.reply.send(result).is_err() && passed {
@@ -205,7 +205,7 @@
         } = limited;
         let chance = rand::random();
         let mut meter = self.meter.borrow_mut();
-        let passed = meter.alone(now, &organisation.name, *rate, nodes, chance);
+        let passed = meter.take_isolated(now, &organisation.name, *rate, nodes, chance);
         log::info!(
             "{} organisation={} nodes={nodes} passed={passed}",
             event::LIMIT_ALONE,
@@ -230,7 +230,7 @@
             version,
         } = &counting.limited;
         let hint = self.meter.borrow().hint(now, &organisation.name, keeper);
-        let count = keeper::Question {
+        let count = coordinator::Query {
             organisation: organisation.name.clone(),
             rate: *rate,
             version: *version,
--- a/src/platform/endpoint.rs
+++ b/src/platform/endpoint.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 
 use crate::catalog::Endpoint;
-use crate::catalog::book::Entry;
+use crate::catalog::registry::Entry;
 use crate::name::Name;
 use crate::table::{Change, Row};
 
--- a/src/pool/message.rs
+++ b/src/pool/message.rs
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::limit::keeper;
+use crate::limit::coordinator;
 use crate::name::Name;
 use crate::quarantine::Fingerprint;
 
@@ -175,7 +175,7 @@
         seq: u64,
         /// What is to be counted.
         #[serde(rename = "c")]
-        count: keeper::Question,
+        count: coordinator::Query,
     },
     /// A request that was counted did not run.
     #[serde(rename = "b")]
@@ -246,5 +246,5 @@
     Here,
     /// The request is counted, or is over its organisation's limit.
     #[serde(rename = "c")]
-    Counted(keeper::Verdict),
+    Counted(coordinator::Answer),
 }
--- a/src/pool/serve.rs
+++ b/src/pool/serve.rs
@@ -15,8 +15,8 @@
 use crate::event;
 use crate::identity;
 use crate::limit::Tolerance;
-use crate::limit::keeper::{Keeper, Ruling, Verdict};
-use crate::limit::reach::Reach;
+use crate::limit::coordinator::{Answer, Coordinator, Decision};
+use crate::limit::isolation::Isolation;
 use crate::member::View;
 use crate::name::Name;
 use crate::snapshot::Cell;
@@ -37,13 +37,13 @@
     catalog: Arc<Cell<Catalog>>,
     by_name: BTreeMap<Name, Pool>,
     /// The limits that this node keeps.
-    keeper: Keeper,
+    keeper: Coordinator,
     view: Arc<Cell<View>>,
     /// The address of this node's own questions.
     own: IpAddr,
     /// When another node last asked something.
     asked: Time,
-    reach: Reach,
+    reach: Isolation,
     /// When the keeper was last looked after.
     kept: Time,
     /// The endpoints that each pool was last given.
@@ -69,14 +69,14 @@
 /// Answers gateways for as long as the thread lives.
 pub async fn serve(setup: Setup) {
     let mut pools = Pools {
-        keeper: Keeper::new(setup.clock.now(), setup.tolerance),
+        keeper: Coordinator::new(setup.clock.now(), setup.tolerance),
         socket: setup.socket,
         clock: setup.clock,
         catalog: setup.catalog,
         view: setup.view,
         own: setup.own,
         asked: Time::ZERO,
-        reach: Reach::default(),
+        reach: Isolation::default(),
         kept: Time::ZERO,
         by_name: BTreeMap::new(),
         seen: BTreeMap::new(),
@@ -158,7 +158,7 @@
     /// counted, or counted no more.
     fn count(&mut self, now: Time, from: SocketAddr, question: Question) {
         let nodes = self.view.read().usable().count();
-        self.keeper.see(now, nodes);
+        self.keeper.set_node_count(now, nodes);
         if !self.keeper.is_settled() && from.ip() != self.own {
             return;
         }
@@ -166,8 +166,8 @@
             Question::Count { seq, count } => {
                 let key = Key { gateway: from, seq };
                 let verdict = if from.ip() == self.own && self.is_cut(now) {
-                    Verdict {
-                        ruling: Ruling::Alone(self.reach.nodes()),
+                    Answer {
+                        decision: Decision::Isolated(self.reach.nodes()),
                         tokens: 0.0,
                     }
                 } else {
@@ -178,7 +178,7 @@
             }
             Question::Back { seq, organisation } => {
                 let key = Key { gateway: from, seq };
-                self.keeper.put_back(now, key, &organisation);
+                self.keeper.refund(now, key, &organisation);
             }
             Question::Probe => {
                 let word = Word::Here;
@@ -191,7 +191,7 @@
     /// True when no other node may know what this one lets through.
     fn is_cut(&self, now: Time) -> bool {
         let heard = identity::age(&self.catalog.read(), Uptime::now());
-        self.reach.is_cut(heard, now.since(self.asked))
+        self.reach.is_isolated(heard, now.since(self.asked))
     }
 
     /// Looks after the limits that this node keeps.
@@ -201,8 +201,8 @@
         }
         self.kept = now;
         let nodes = self.view.read().usable().count();
-        self.keeper.see(now, nodes);
-        self.reach.see(now, nodes);
+        self.keeper.set_node_count(now, nodes);
+        self.reach.set_node_count(now, nodes);
         self.keeper.sweep(now);
     }
 
--- a/src/quarantine/ward.rs
+++ b/src/quarantine/detector.rs
@@ -11,7 +11,7 @@
 use tokio::time::sleep;
 
 use super::Fingerprint;
-use super::evidence::{Added, Conviction, Crash, Evidence, Moment, Standing};
+use super::evidence::{Added, Condemnation, Crash, Evidence, Stage, Status};
 use super::loss::{self, Finding};
 use super::record::{self, Observation, Row};
 use crate::catalog::{Catalog, Endpoint};
@@ -45,7 +45,7 @@
 /// How long after its end a verdict's row stays, so that who reads late knows of it.
 const ROW_GRACE: Duration = Duration::from_secs(900);
 
-/// What a [`Ward`] works with.
+/// What a [`Detector`] works with.
 pub struct Setup {
     /// This process's name among the members.
     pub me: Name,
@@ -79,12 +79,12 @@
 /// A verdict that was reached here and is not known to be in the store.
 struct Unsaved {
     reached: Time,
-    conviction: Conviction,
+    condemnation: Condemnation,
     saving: bool,
 }
 
 /// What one node knows and does about requests that crash endpoints.
-pub struct Ward {
+pub struct Detector {
     setup: Setup,
     evidence: RefCell<Evidence>,
     unsaved: RefCell<BTreeMap<Fingerprint, Unsaved>>,
@@ -97,7 +97,7 @@
     changed: Notify,
 }
 
-impl Ward {
+impl Detector {
     /// Knows nothing yet.
     pub fn new(setup: Setup) -> Rc<Self> {
         Rc::new(Self {
@@ -116,15 +116,15 @@
     }
 
     /// How a request stands now.
-    pub fn standing(&self, request: Fingerprint) -> Standing {
-        self.evidence.borrow().standing(self.now(), request)
+    pub fn status(&self, request: Fingerprint) -> Status {
+        self.evidence.borrow().status(self.now(), request)
     }
 
     /// Returns once the request is condemned.
-    pub async fn condemned(&self, request: Fingerprint) {
+    pub async fn until_condemned(&self, request: Fingerprint) {
         loop {
             let changed = self.changed.notified();
-            if self.standing(request) == Standing::Condemned {
+            if self.status(request) == Status::Condemned {
                 return;
             }
             changed.await;
@@ -133,7 +133,7 @@
 
     /// Looks into a run that `endpoint` did not end, and returns what is known of the
     /// endpoint's process; one whose end is still open is watched.
-    pub async fn lost(self: &Rc<Self>, endpoint: &Arc<Endpoint>, run: Run<'_>) -> Finding {
+    pub async fn investigate(self: &Rc<Self>, endpoint: &Arc<Endpoint>, run: Run<'_>) -> Finding {
         let entry = loss::entry(&self.setup.catalog.read(), endpoint);
         let mut listener = loss::probe(endpoint).await;
         if listener == Reachability::Open {
@@ -150,29 +150,29 @@
             run.ran.as_millis(),
             run.why,
         );
-        let moment = Moment::of(run.ran);
-        let finding = loss::judge(entry, listener);
+        let stage = Stage::of(run.ran);
+        let finding = loss::classify(entry, listener);
         match finding {
-            Finding::Crashed => self.blame(endpoint, run.request, moment),
-            Finding::Innocent => {}
-            Finding::Open => self.watch(endpoint, run.request, moment),
+            Finding::Crashed => self.blame(endpoint, run.request, stage),
+            Finding::NotCrashed => {}
+            Finding::Undecided => self.watch(endpoint, run.request, stage),
         }
         finding
     }
 
     /// Watches an endpoint whose process may have ended unseen: behind a cut path, or
     /// without closing its connections.
-    fn watch(self: &Rc<Self>, endpoint: &Arc<Endpoint>, request: Fingerprint, moment: Moment) {
+    fn watch(self: &Rc<Self>, endpoint: &Arc<Endpoint>, request: Fingerprint, stage: Stage) {
         if self.watched.get() >= MOST_WATCHED {
             return;
         }
         self.watched.set(self.watched.get() + 1);
-        let (ward, endpoint) = (Rc::clone(self), Arc::clone(endpoint));
+        let (detector, endpoint) = (Rc::clone(self), Arc::clone(endpoint));
         actix_rt::spawn(async move {
-            if ward.watch_to_end(&endpoint).await == Finding::Crashed {
-                ward.blame(&endpoint, request, moment);
+            if detector.watch_to_end(&endpoint).await == Finding::Crashed {
+                detector.blame(&endpoint, request, stage);
             }
-            ward.watched.set(ward.watched.get() - 1);
+            detector.watched.set(detector.watched.get() - 1);
         });
     }
 
@@ -185,42 +185,42 @@
                 loss::Entry::Gone => loss::probe(endpoint).await,
                 _ => Reachability::Open,
             };
-            let finding = loss::judge_later(entry, listener);
-            if finding != Finding::Open {
+            let finding = loss::classify_later(entry, listener);
+            if finding != Finding::Undecided {
                 return finding;
             }
         }
-        Finding::Innocent
+        Finding::NotCrashed
     }
 
-    fn blame(&self, endpoint: &Endpoint, request: Fingerprint, moment: Moment) {
+    fn blame(&self, endpoint: &Endpoint, request: Fingerprint, stage: Stage) {
         let crash = Crash {
             endpoint: endpoint.id.clone(),
             incarnation: endpoint.incarnation,
         };
         let now = self.now();
         let mut evidence = self.evidence.borrow_mut();
-        match evidence.add(now, crash.clone(), request, moment) {
+        match evidence.add_crash(now, crash.clone(), request, stage) {
             Added::New => {
-                evidence.weigh(now);
-                self.setup.count.record_lost_run();
-                self.tell(&Observation::Crashed(request, crash, moment), 1);
+                evidence.update_blame(now);
+                self.setup.count.blame();
+                self.tell(&Observation::Crashed(request, crash, stage), 1);
             }
-            Added::Nothing | Added::Refuted(_) => {}
+            Added::Ignored | Added::Refuted(_) => {}
         }
     }
 
     /// A run of the request ended as it should.
-    pub fn sound(&self, request: Fingerprint) {
+    pub fn completed(&self, request: Fingerprint) {
         let now = self.now();
-        if self.evidence.borrow_mut().clear(now, request) {
+        if self.evidence.borrow_mut().add_completion(now, request) {
             log::info!("{} print={request}", event::REQUEST_CLEARED);
             self.tell_sound(request);
         }
     }
 
     fn tell_sound(&self, request: Fingerprint) {
-        self.tell(&Observation::Sound(request), unix_millis());
+        self.tell(&Observation::Completed(request), unix_millis());
     }
 
     fn tell(&self, observation: &Observation, version: u64) {
@@ -230,18 +230,18 @@
     }
 
     /// Takes what another node observed.
-    pub fn take(&self, note: &Note) {
+    pub fn apply_note(&self, note: &Note) {
         let now = self.now();
         match Observation::read(note) {
-            Some(Observation::Crashed(request, crash, moment)) => {
+            Some(Observation::Crashed(request, crash, stage)) => {
                 let mut evidence = self.evidence.borrow_mut();
-                if evidence.add(now, crash, request, moment) == Added::Refuted(true) {
+                if evidence.add_crash(now, crash, request, stage) == Added::Refuted(true) {
                     self.tell_sound(request);
                 }
             }
             // Whoever told it has told all others.
-            Some(Observation::Sound(request)) => {
-                self.evidence.borrow_mut().clear(now, request);
+            Some(Observation::Completed(request)) => {
+                self.evidence.borrow_mut().add_completion(now, request);
             }
             None => {}
         }
@@ -260,7 +260,7 @@
         let taker = Rc::clone(&self);
         actix_rt::spawn(async move {
             while let Some(note) = notes.recv().await {
-                taker.take(&note);
+                taker.apply_note(&note);
             }
         });
         loop {
@@ -277,21 +277,25 @@
         if reached.is_empty() {
             return;
         }
-        for conviction in reached {
-            let endpoints: Vec<&str> = conviction.crashes.iter().map(|it| &*it.endpoint).collect();
+        for condemnation in reached {
+            let endpoints: Vec<&str> = condemnation
+                .crashes
+                .iter()
+                .map(|it| &*it.endpoint)
+                .collect();
             log::warn!(
                 "{} print={} source=evidence times={} term_s={} endpoints={}",
                 event::REQUEST_CONDEMNED,
-                conviction.request,
-                conviction.times,
-                conviction.term.as_secs(),
+                condemnation.request,
+                condemnation.times,
+                condemnation.term.as_secs(),
                 endpoints.join(","),
             );
-            self.setup.count.record_verdict();
-            let request = conviction.request;
+            self.setup.count.condemn();
+            let request = condemnation.request;
             let unsaved = Unsaved {
                 reached: now,
-                conviction,
+                condemnation,
                 saving: false,
             };
             self.unsaved.borrow_mut().insert(request, unsaved);
@@ -319,12 +323,12 @@
                 continue;
             }
             unsaved.saving = true;
-            let conviction = &unsaved.conviction;
-            let ends = unsaved.reached + conviction.term;
+            let condemnation = &unsaved.condemnation;
+            let ends = unsaved.reached + condemnation.term;
             let row = Row {
                 until: clock + millis(ends.since(now)),
-                times: conviction.times,
-                endpoints: conviction
+                times: condemnation.times,
+                endpoints: condemnation
                     .crashes
                     .iter()
                     .map(|it| it.endpoint.clone())
@@ -395,7 +399,7 @@
         self.unsaved.borrow_mut().remove(&request);
         let now = self.now();
         let left = Duration::from_millis(row.until.saturating_sub(clock));
-        if self.standing(request) != Standing::Condemned && !left.is_zero() {
+        if self.status(request) != Status::Condemned && !left.is_zero() {
             log::info!(
                 "{} print={request} source=store times={} term_s={} endpoints={}",
                 event::REQUEST_CONDEMNED,
@@ -406,7 +410,7 @@
         }
         self.evidence
             .borrow_mut()
-            .convict(now, request, now + left, row.times);
+            .condemn(now, request, now + left, row.times);
         self.changed.notify_waiters();
     }
 
@@ -428,11 +432,11 @@
             return;
         };
         self.rows.borrow_mut().remove(&request);
-        let ward = Rc::clone(self);
+        let detector = Rc::clone(self);
         actix_rt::spawn(async move {
             let delete = Transaction::default().delete(record::key(request));
             // A row that stays is found again at the next whole reading.
-            if let Err(fault) = ward.setup.store.transact(delete).await {
+            if let Err(fault) = detector.setup.store.transact(delete).await {
                 log::debug!("{} print={request} why=\"{fault}\"", event::STORE_CALL_LOST);
             }
         });
--- a/src/quarantine/evidence.rs
+++ b/src/quarantine/evidence.rs
@@ -51,7 +51,7 @@
 
 /// How a request stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Status {
     /// It may run like any other.
     Clear,
     /// Endpoints ended while it ran there: it runs apart from other suspects, and
@@ -65,23 +65,23 @@
 
 /// When in a run its endpoint ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Moment {
+pub enum Stage {
     /// Later than [`SOON`] after it began.
     Late,
     /// Soon after it began.
-    Soon,
+    Early,
 }
 
-impl Moment {
+impl Stage {
     /// Of a run that had lasted for `ran`.
     pub fn of(ran: Duration) -> Self {
-        if ran < SOON { Self::Soon } else { Self::Late }
+        if ran < SOON { Self::Early } else { Self::Late }
     }
 
     fn weight(self) -> u32 {
         match self {
             Self::Late => 1,
-            Self::Soon => 2,
+            Self::Early => 2,
         }
     }
 }
@@ -92,14 +92,14 @@
     /// News.
     New,
     /// Nothing new, or more than is remembered.
-    Nothing,
+    Ignored,
     /// Wrong: the request has run to its end lately. True when others are to be told.
     Refuted(bool),
 }
 
 /// A request that was condemned, and the crashes it is condemned for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Conviction {
+pub struct Condemnation {
     /// The request.
     pub request: Fingerprint,
     /// The endpoints that ended under it.
@@ -115,7 +115,7 @@
     since: Time,
     /// When an observation of it last came.
     told: Time,
-    requests: BTreeMap<Fingerprint, Moment>,
+    requests: BTreeMap<Fingerprint, Stage>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -159,19 +159,19 @@
 
 impl Evidence {
     /// How a request stands.
-    pub fn standing(&self, now: Time, request: Fingerprint) -> Standing {
+    pub fn status(&self, now: Time, request: Fingerprint) -> Status {
         let verdict = self.verdicts.get(&request);
         if verdict.is_some_and(|verdict| verdict.is_active(now)) {
-            return Standing::Condemned;
+            return Status::Condemned;
         }
         match self.blame.get(&request) {
             Some(blame) if self.is_due(request, blame) => {
                 let settled = blame.newest + SETTLE;
-                Standing::Held(settled.since(now))
+                Status::Held(settled.since(now))
             }
-            Some(_) => Standing::Suspect,
-            None if verdict.is_some() => Standing::Suspect,
-            None => Standing::Clear,
+            Some(_) => Status::Suspect,
+            None if verdict.is_some() => Status::Suspect,
+            None => Status::Clear,
         }
     }
 
@@ -187,9 +187,15 @@
     }
 
     /// An endpoint ended while the request ran there. It counts from the next
-    /// [`Self::weigh`] or [`Self::step`] on: in a storm the observations of all nodes
+    /// [`Self::update_blame`] or [`Self::step`] on: in a storm the observations of all nodes
     /// come together.
-    pub fn add(&mut self, now: Time, crash: Crash, request: Fingerprint, moment: Moment) -> Added {
+    pub fn add_crash(
+        &mut self,
+        now: Time,
+        crash: Crash,
+        request: Fingerprint,
+        stage: Stage,
+    ) -> Added {
         if let Some(sound) = self.sound.get_mut(&request)
             && now.since(sound.at) < SOUND
         {
@@ -205,10 +211,10 @@
             requests: BTreeMap::new(),
         });
         let known = case.requests.get(&request).copied();
-        if known >= Some(moment) || known.is_none() && case.requests.len() >= MAX_REQUESTS {
-            return Added::Nothing;
+        if known >= Some(stage) || known.is_none() && case.requests.len() >= MAX_REQUESTS {
+            return Added::Ignored;
         }
-        case.requests.insert(request, moment);
+        case.requests.insert(request, stage);
         case.told = now;
         if self.cases.len() > MAX_CRASHES {
             self.drop_oldest();
@@ -232,7 +238,7 @@
 
     /// The request ran to its end: what ended while it ran elsewhere had another
     /// cause. True when that is news to tell.
-    pub fn clear(&mut self, now: Time, request: Fingerprint) -> bool {
+    pub fn add_completion(&mut self, now: Time, request: Fingerprint) -> bool {
         let known = self.is_known(request);
         let told = match self.sound.get(&request) {
             Some(sound) if !known => sound.told,
@@ -248,13 +254,13 @@
             case.requests.remove(&request);
         }
         self.cases.retain(|_, case| !case.requests.is_empty());
-        self.weigh(now);
+        self.update_blame(now);
         true
     }
 
     /// Takes a verdict that stands in the store and lasts until `until`; one that is
     /// over is remembered all the same.
-    pub fn convict(&mut self, now: Time, request: Fingerprint, until: Time, times: u32) {
+    pub fn condemn(&mut self, now: Time, request: Fingerprint, until: Time, times: u32) {
         let verdict = Verdict { until, times };
         let known = self.verdicts.entry(request).or_insert(verdict);
         if known.until < until {
@@ -267,28 +273,28 @@
             };
             self.verdicts.remove(&request);
         }
-        self.weigh(now);
+        self.update_blame(now);
     }
 
     /// Reaches the verdicts that are due, and forgets what is old.
-    pub fn step(&mut self, now: Time) -> Vec<Conviction> {
+    pub fn step(&mut self, now: Time) -> Vec<Condemnation> {
         self.expire(now);
         if self.is_stale {
-            self.weigh(now);
+            self.update_blame(now);
         }
         let mut reached = Vec::new();
-        while let Some(conviction) = self.next(now) {
-            let Conviction { term, times, .. } = conviction;
-            self.verdicts.remove(&conviction.request);
-            self.convict(now, conviction.request, now + term, times);
-            reached.push(conviction);
+        while let Some(condemnation) = self.next(now) {
+            let Condemnation { term, times, .. } = condemnation;
+            self.verdicts.remove(&condemnation.request);
+            self.condemn(now, condemnation.request, now + term, times);
+            reached.push(condemnation);
         }
         reached
     }
 
     /// The request that is to blame most, if a verdict on it is due. What it
     /// explains blames nobody else, so the others are weighed anew after it.
-    fn next(&self, now: Time) -> Option<Conviction> {
+    fn next(&self, now: Time) -> Option<Condemnation> {
         let due = self.blame.iter().filter(|(request, blame)| {
             self.is_due(**request, blame) && blame.newest + SETTLE <= now
         });
@@ -296,7 +302,7 @@
         let before = self.verdicts.get(request).map_or(0, |it| it.times);
         let crashes = self.open_cases(now);
         let crashes = crashes.filter(|(_, case)| case.requests.contains_key(request));
-        Some(Conviction {
+        Some(Condemnation {
             request: *request,
             crashes: crashes.map(|(crash, _)| crash.clone()).collect(),
             term: FIRST_TERM * 2_u32.pow(before.min(MOST_DOUBLINGS)),
@@ -312,7 +318,7 @@
         self.verdicts
             .retain(|_, verdict| now < verdict.until + FIRST_TERM);
         if before != (self.cases.len(), self.verdicts.len()) {
-            self.weigh(now);
+            self.update_blame(now);
         }
     }
 
@@ -328,17 +334,17 @@
     }
 
     /// Weighs anew who is to blame for what.
-    pub fn weigh(&mut self, now: Time) {
+    pub fn update_blame(&mut self, now: Time) {
         self.is_stale = false;
         let mut blame: HashMap<Fingerprint, Blame> = HashMap::new();
         for (_, case) in self.open_cases(now) {
-            for (request, moment) in &case.requests {
+            for (request, stage) in &case.requests {
                 let blame = blame.entry(*request).or_insert(Blame {
                     weight: 0,
                     newest: case.told,
                     is_outranked: false,
                 });
-                blame.weight += moment.weight();
+                blame.weight += stage.weight();
                 blame.newest = blame.newest.max(case.told);
             }
         }
--- a/src/quarantine/record.rs
+++ b/src/quarantine/record.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::Fingerprint;
-use super::evidence::{Crash, Moment};
+use super::evidence::{Crash, Stage};
 use crate::name::Name;
 use crate::wire;
 use crate::wire::control::Note;
@@ -23,9 +23,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Observation {
     /// An endpoint ended while the request ran there.
-    Crashed(Fingerprint, Crash, Moment),
+    Crashed(Fingerprint, Crash, Stage),
     /// The request ran to its end.
-    Sound(Fingerprint),
+    Completed(Fingerprint),
 }
 
 impl Observation {
@@ -35,11 +35,11 @@
             Self::Crashed(request, crash, _) => {
                 format!("{request}/{:x}/{}", crash.incarnation, crash.endpoint)
             }
-            Self::Sound(request) => format!("{request}/{SOUND}"),
+            Self::Completed(request) => format!("{request}/{SOUND}"),
         };
         let value = match self {
-            Self::Crashed(_, _, Moment::Late) => LATE,
-            Self::Crashed(_, _, Moment::Soon) | Self::Sound(_) => &[],
+            Self::Crashed(_, _, Stage::Late) => LATE,
+            Self::Crashed(_, _, Stage::Early) | Self::Completed(_) => &[],
         };
         Note {
             topic: TOPIC,
@@ -57,19 +57,19 @@
         let (request, what) = note.key.split_once('/')?;
         let request = Fingerprint(u64::from_str_radix(request, 16).ok()?);
         if what == SOUND {
-            return Some(Self::Sound(request));
+            return Some(Self::Completed(request));
         }
         let (incarnation, endpoint) = what.split_once('/')?;
         let crash = Crash {
             endpoint: endpoint.into(),
             incarnation: u64::from_str_radix(incarnation, 16).ok()?,
         };
-        let moment = if note.value == LATE {
-            Moment::Late
+        let stage = if note.value == LATE {
+            Stage::Late
         } else {
-            Moment::Soon
+            Stage::Early
         };
-        Some(Self::Crashed(request, crash, moment))
+        Some(Self::Crashed(request, crash, stage))
     }
 }
 
--- a/src/quarantine/standings.rs
+++ b/src/quarantine/statuses.rs
@@ -9,7 +9,7 @@
 use tokio::time::sleep;
 
 use super::Fingerprint;
-use super::evidence::{Added, Evidence, Standing};
+use super::evidence::{Added, Evidence, Status};
 use super::record::Observation;
 use crate::clock::{Clock, unix_millis};
 use crate::event;
@@ -24,13 +24,13 @@
 
 /// The requests that don't stand like any other, at one moment.
 #[derive(Debug, Default)]
-pub struct Standings {
+pub struct Statuses {
     condemned: HashSet<Fingerprint>,
     held: HashSet<Fingerprint>,
     suspects: HashSet<Fingerprint>,
 }
 
-impl Standings {
+impl Statuses {
     /// It is not run any more.
     pub fn is_condemned(&self, request: Fingerprint) -> bool {
         self.condemned.contains(&request)
@@ -50,47 +50,44 @@
 /// What a traffic thread works with; clones share it.
 #[derive(Clone, Debug)]
 pub struct Handle {
-    standings: Arc<Cell<Standings>>,
-    observed: mpsc::Sender<Told>,
+    statuses: Arc<Cell<Statuses>>,
+    observed: mpsc::Sender<Report>,
 }
 
 /// An observation, and who waits until it is published.
 #[derive(Debug)]
-pub struct Told {
+pub struct Report {
     observation: Observation,
     done: Option<oneshot::Sender<()>>,
 }
 
 impl Handle {
     /// A handle, and what it tells.
-    pub fn new() -> (Self, mpsc::Receiver<Told>) {
+    pub fn new() -> (Self, mpsc::Receiver<Report>) {
         let (observed, inbox) = mpsc::channel(WAITING);
-        let standings = Arc::new(Cell::new(Standings::default()));
-        let handle = Self {
-            standings,
-            observed,
-        };
+        let statuses = Arc::new(Cell::new(Statuses::default()));
+        let handle = Self { statuses, observed };
         (handle, inbox)
     }
 
     /// How requests stand.
-    pub fn standings(&self) -> &Cell<Standings> {
-        &self.standings
+    pub fn statuses(&self) -> &Cell<Statuses> {
+        &self.statuses
     }
 
     /// Tells the deciding thread.
-    pub fn tell(&self, observation: Observation) {
+    pub fn report(&self, observation: Observation) {
         let done = None;
         // What does not fit is lost like a datagram; the next crash tells as much.
-        let _ = self.observed.try_send(Told { observation, done });
+        let _ = self.observed.try_send(Report { observation, done });
     }
 
     /// The same, and waits until what it leads to is published: the next attempt of the
     /// same request may begin at once.
-    pub async fn tell_first(&self, observation: Observation) {
+    pub async fn report_and_wait(&self, observation: Observation) {
         let (done, published) = oneshot::channel();
         let done = Some(done);
-        if self.observed.try_send(Told { observation, done }).is_ok() {
+        if self.observed.try_send(Report { observation, done }).is_ok() {
             // An error means that the deciding thread has ended.
             let _ = published.await;
         }
@@ -103,23 +100,23 @@
     clock: Clock,
     members: Members,
     handle: Handle,
-    mut observed: mpsc::Receiver<Told>,
+    mut observed: mpsc::Receiver<Report>,
     mut notes: mpsc::Receiver<Note>,
 ) {
     let mut evidence = Evidence::default();
     loop {
         let mut waits = None;
         tokio::select! {
-            Some(Told { observation, done }) = observed.recv() => {
+            Some(Report { observation, done }) = observed.recv() => {
                 waits = done;
                 if take(&clock, &mut evidence, &observation) {
                     let version = match observation {
                         Observation::Crashed(..) => 1,
-                        Observation::Sound(_) => unix_millis(),
+                        Observation::Completed(_) => unix_millis(),
                     };
                     members.note(observation.note(version));
                 }
-                evidence.weigh(clock.now());
+                evidence.update_blame(clock.now());
             }
             Some(note) = notes.recv() => {
                 if let Some(observation) = Observation::read(&note) {
@@ -129,18 +126,22 @@
             () = sleep(TICK) => {}
         }
         let now = clock.now();
-        for conviction in evidence.step(now) {
-            let endpoints: Vec<&str> = conviction.crashes.iter().map(|it| &*it.endpoint).collect();
+        for condemnation in evidence.step(now) {
+            let endpoints: Vec<&str> = condemnation
+                .crashes
+                .iter()
+                .map(|it| &*it.endpoint)
+                .collect();
             log::warn!(
                 "{} print={} source=evidence times={} term_s={} endpoints={}",
                 event::REQUEST_CONDEMNED,
-                conviction.request,
-                conviction.times,
-                conviction.term.as_secs(),
+                condemnation.request,
+                condemnation.times,
+                condemnation.term.as_secs(),
                 endpoints.join(","),
             );
         }
-        handle.standings.publish(publish(&evidence, &clock));
+        handle.statuses.publish(publish(&evidence, &clock));
         if let Some(done) = waits {
             // A failure means that the request has ended.
             let _ = done.send(());
@@ -152,24 +153,24 @@
 fn take(clock: &Clock, evidence: &mut Evidence, observation: &Observation) -> bool {
     let now = clock.now();
     match observation {
-        Observation::Crashed(request, crash, moment) => {
-            evidence.add(now, crash.clone(), *request, *moment) == Added::New
+        Observation::Crashed(request, crash, stage) => {
+            evidence.add_crash(now, crash.clone(), *request, *stage) == Added::New
         }
-        Observation::Sound(request) => evidence.clear(now, *request),
+        Observation::Completed(request) => evidence.add_completion(now, *request),
     }
 }
 
-fn publish(evidence: &Evidence, clock: &Clock) -> Standings {
+fn publish(evidence: &Evidence, clock: &Clock) -> Statuses {
     let now = clock.now();
-    let mut standings = Standings::default();
+    let mut statuses = Statuses::default();
     for request in evidence.requests() {
-        let set = match evidence.standing(now, request) {
-            Standing::Condemned => &mut standings.condemned,
-            Standing::Held(_) => &mut standings.held,
-            Standing::Suspect => &mut standings.suspects,
-            Standing::Clear => continue,
+        let set = match evidence.status(now, request) {
+            Status::Condemned => &mut statuses.condemned,
+            Status::Held(_) => &mut statuses.held,
+            Status::Suspect => &mut statuses.suspects,
+            Status::Clear => continue,
         };
         set.insert(request);
     }
-    standings
+    statuses
 }
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -41,19 +41,19 @@
     /// Time until the caller gives up.
     pub time_left: Duration,
     /// True when another endpoint is left to try.
-    pub elsewhere: bool,
+    pub has_alternative: bool,
 }
 
 /// What to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
     /// Try again after `wait`, from the offset that the caller has.
-    Again {
+    Retry {
         /// How long to wait first.
         wait: Duration,
     },
     /// Tell the caller at once.
-    Final(Failure),
+    GiveUp(Failure),
 }
 
 /// Decides what follows a failed attempt; takes from `budget` what it spends.
@@ -66,17 +66,17 @@
         Failure::MayHaveRun(refusal) => (refusal, !attempt.once),
     };
     let useful = helps(refusal.reason)
-        && attempt.elsewhere
+        && attempt.has_alternative
         && attempt.count < MAX_ATTEMPTS
         && attempt.time_left >= MIN_TIME;
     if !legal || !useful || !budget.withdraw() {
-        return Decision::Final(failure);
+        return Decision::GiveUp(failure);
     }
     let wait = match attempt.count {
         0 | 1 => Duration::ZERO,
         count => BACKOFF * 2_u32.pow(count - 2),
     };
-    Decision::Again { wait }
+    Decision::Retry { wait }
 }
 
 /// True when another endpoint may do better.
--- a/src/rpc/caller.rs
+++ b/src/rpc/caller.rs
@@ -37,7 +37,7 @@
         ));
     }
     if ask.prompt.len() > prompt_bytes {
-        return Err(Refusal::new(Reason::TooLarge).because(format!(
+        return Err(Refusal::new(Reason::TooLarge).with_message(format!(
             "the prompt has {} bytes; send at most {prompt_bytes}",
             ask.prompt.len()
         )));
@@ -84,7 +84,7 @@
 }
 
 fn wrong(field: &str, advice: &str) -> Refusal {
-    Refusal::new(Reason::Invalid).because(format!("{field}: {advice}"))
+    Refusal::new(Reason::Invalid).with_message(format!("{field}: {advice}"))
 }
 
 /// The schema's form of an answer.
--- a/src/rpc/job.rs
+++ b/src/rpc/job.rs
@@ -19,12 +19,12 @@
     ] {
         if !name::is_valid(text) {
             let message = format!("{field}: name one, of letters, digits and -_.:");
-            return Err(Refusal::new(Reason::Invalid).because(message));
+            return Err(Refusal::new(Reason::Invalid).with_message(message));
         }
     }
     let most = limits.job_items;
     if job.items.len() > most {
-        return Err(Refusal::new(Reason::TooLarge).because(format!(
+        return Err(Refusal::new(Reason::TooLarge).with_message(format!(
             "the job has {} items; send at most {most}, as several jobs",
             job.items.len()
         )));
@@ -33,11 +33,11 @@
     if let Some(number) = job.items.iter().position(long) {
         let bound = limits.prompt_bytes;
         let message = format!("items[{number}].prompt: send at most {bound} bytes");
-        return Err(Refusal::new(Reason::TooLarge).because(message));
+        return Err(Refusal::new(Reason::TooLarge).with_message(message));
     }
     if let Some(number) = job.items.iter().position(|item| item.prompt.is_empty()) {
         let message = format!("items[{number}].prompt: send one, it is empty");
-        return Err(Refusal::new(Reason::Invalid).because(message));
+        return Err(Refusal::new(Reason::Invalid).with_message(message));
     }
     let items = job.items.into_iter().map(|item| job::Item {
         key: item.key.into(),
@@ -60,7 +60,7 @@
 /// A refusal when no job can have that name.
 pub fn id(text: &str) -> Result<Id, Refusal> {
     Id::parse(text).ok_or_else(|| {
-        Refusal::new(Reason::UnknownJob).because(format!(
+        Refusal::new(Reason::UnknownJob).with_message(format!(
             "`{text}` is no job; `auburnspoke job list` names them"
         ))
     })
--- a/src/rpc/operator.rs
+++ b/src/rpc/operator.rs
@@ -155,7 +155,7 @@
         Some(Some(in_flight)) => Outcome::Done(v1::DrainResponse { in_flight }),
         Some(None) => Outcome::MayHaveRun(
             Refusal::new(Reason::LinkFailed)
-                .because("the node does not answer; look at `auburnspoke members`"),
+                .with_message("the node does not answer; look at `auburnspoke members`"),
         ),
     }
 }
@@ -192,6 +192,6 @@
 fn busy<T>() -> Outcome<T> {
     Outcome::NotRun(
         Refusal::new(Reason::Overloaded)
-            .because("the node's control thread is busy; ask another node"),
+            .with_message("the node's control thread is busy; ask another node"),
     )
 }
--- a/src/rpc/server.rs
+++ b/src/rpc/server.rs
@@ -125,7 +125,8 @@
         };
         let work = self.shared.questions.begin();
         if matches!(**self.shared.phase.read(), Phase::Closing | Phase::Cutting) {
-            let refusal = Refusal::new(Reason::NotReady).because("the node leaves; use another");
+            let refusal =
+                Refusal::new(Reason::NotReady).with_message("the node leaves; use another");
             return refused(media, true, &refusal);
         }
         if let Some(method) = path.strip_prefix(CALLER) {
@@ -284,7 +285,7 @@
         };
         let Ok(from) = from else {
             let refusal = Refusal::new(Reason::Invalid)
-                .because("page: send back next_page as it came, or nothing to start");
+                .with_message("page: send back next_page as it came, or nothing to start");
             return Outcome::NotRun(refusal);
         };
         let page = self.jobs.results(&id, from, ask.limit as usize).await;
@@ -329,8 +330,9 @@
 
     fn ask_stream(self: Rc<Self>, media: Media, body: Bytes, work: Guard) -> Response<BoxBody> {
         if !media.stream {
-            let refusal = Refusal::new(Reason::Invalid)
-                .because("AskStream needs application/connect+json or application/connect+proto");
+            let refusal = Refusal::new(Reason::Invalid).with_message(
+                "AskStream needs application/connect+json or application/connect+proto",
+            );
             return refused(media, true, &refusal);
         }
         let asked = open_request(media.format, body)
@@ -368,7 +370,7 @@
 
 /// Decodes a question out of its envelope.
 fn open_request(format: Format, body: Bytes) -> Result<v1::AskRequest, Refusal> {
-    let invalid = |what: &str| Refusal::new(Reason::Invalid).because(what);
+    let invalid = |what: &str| Refusal::new(Reason::Invalid).with_message(what);
     let mut bytes = body.into();
     let Some((0, message)) = codec::open(&mut bytes) else {
         return Err(invalid("the body is not one uncompressed envelope"));
@@ -389,13 +391,13 @@
             .await
             .map(|answer| codec::encode(format, &answer)),
         Err(what) => Outcome::NotRun(
-            Refusal::new(Reason::Invalid).because(format!("the body can't be read: {what}")),
+            Refusal::new(Reason::Invalid).with_message(format!("the body can't be read: {what}")),
         ),
     }
 }
 
 fn unknown_method(method: &str) -> Outcome<Bytes> {
-    Outcome::NotRun(Refusal::new(Reason::Invalid).because(format!(
+    Outcome::NotRun(Refusal::new(Reason::Invalid).with_message(format!(
         "there is no method {method}; see proto/auburnspoke/v1"
     )))
 }
@@ -405,7 +407,7 @@
         BodyError::TooLong(_) => Reason::TooLarge,
         BodyError::Broken => Reason::Invalid,
     };
-    Refusal::new(reason).because(format!("{error}; send less, or split it"))
+    Refusal::new(reason).with_message(format!("{error}; send less, or split it"))
 }
 
 fn answer(media: Media, outcome: Outcome<Bytes>) -> Response<BoxBody> {
--- a/src/wire/query.rs
+++ b/src/wire/query.rs
@@ -10,8 +10,8 @@
 use crate::config::Document;
 use crate::config::follow::Report;
 use crate::dispatch::Load;
-use crate::edge::learn::PeerUpdate;
-use crate::feed::Told;
+use crate::edge::learn::Known;
+use crate::feed::Answer;
 use crate::name::Name;
 
 /// A question.
@@ -63,7 +63,7 @@
     /// To [`Query::Known`]; none when the store does not answer this node either.
     Known(Option<Box<PeerUpdate>>),
     /// To [`Query::Changes`].
-    Changes(Told),
+    Changes(Answer),
     /// The node can't answer now.
     Busy,
 }
--- a/standin/src/policy/world.rs
+++ b/standin/src/policy/world.rs
@@ -469,14 +469,14 @@
             count: ask.count,
             once: false,
             time_left: (question.at + DEADLINE).since(self.now),
-            elsewhere: ask.tried.len() < self.sites.len(),
+            has_alternative: ask.tried.len() < self.sites.len(),
         };
         match retry::decide(failure, &attempt, &mut gateway.budget) {
-            Decision::Again { wait } => {
+            Decision::Retry { wait } => {
                 self.measure.retried += 1;
                 self.agenda.add(self.now + wait, Event::Retry(at));
             }
-            Decision::Final(_) => {
+            Decision::GiveUp(_) => {
                 ask.closed = true;
                 self.measure.refused += u64::from(measured);
             }
--- a/standin/tests/support/fleet.rs
+++ b/standin/tests/support/fleet.rs
@@ -18,7 +18,7 @@
 use auburnspoke::permit::{self, Broker};
 use auburnspoke::platform::store::Client;
 use auburnspoke::pool;
-use auburnspoke::quarantine::{Ward, ward};
+use auburnspoke::quarantine::{Detector, detector};
 use auburnspoke::snapshot::Cell;
 use bytes::Bytes;
 use hyper::StatusCode;
@@ -150,7 +150,7 @@
             });
             actix_rt::spawn(Rc::clone(&desk).run());
             let (told, _) = mpsc::channel(1);
-            let ward = Ward::new(ward::Setup {
+            let ward = Detector::new(detector::Setup {
                 me: me.clone(),
                 clock,
                 store: Client::new(store.listen(at).await.unwrap()),
--- a/tests/attempt_decide.rs
+++ b/tests/attempt_decide.rs
@@ -19,10 +19,10 @@
 #[gtest]
 fn failed_events_without_numbers() {
     let mut attempt = attempt(Repeat::Resume, 2);
-    attempt.sending();
-    attempt.begin();
-    attempt.passed(None);
-    expect_that!(attempt.may_move(), eq(false));
+    attempt.start_run();
+    attempt.start_answer();
+    attempt.forwarded(None);
+    expect_that!(attempt.can_fail_over(), eq(false));
     expect_that!(attempt.failed(START, Failure::Lost), eq(Next::Break));
 }
 
@@ -30,12 +30,12 @@
 #[gtest]
 fn failed_events_with_numbers() {
     let mut attempt = attempt(Repeat::Resume, 2);
-    attempt.sending();
-    attempt.begin();
-    attempt.passed(Some(4));
+    attempt.start_run();
+    attempt.start_answer();
+    attempt.forwarded(Some(4));
     expect_that!(attempt.failed(START, Failure::Lost), eq(Next::Again));
     expect_that!(attempt.last(), some(eq(4)));
-    attempt.sending();
+    attempt.start_run();
     expect_that!(attempt.failed(START, Failure::Lost), eq(Next::Break));
 }
 
@@ -44,16 +44,16 @@
 #[gtest]
 fn failed_once_lost() {
     let mut attempt = attempt(Repeat::Never, 3);
-    attempt.sending();
+    attempt.start_run();
     expect_that!(attempt.failed(START, Failure::Lost), eq(Next::Fail));
 }
 
 #[gtest]
 fn failed_once_not_run() {
     let mut attempt = attempt(Repeat::Never, 1);
-    attempt.sending();
+    attempt.start_run();
     expect_that!(attempt.failed(START, Failure::NotRun), eq(Next::Again));
-    expect_that!(attempt.is_unrun(), eq(true));
+    expect_that!(attempt.is_not_run(), eq(true));
 }
 
 /// Endpoints are full one after the other; the caller should hear soon that
@@ -64,7 +64,7 @@
     let mut next = Next::Again;
     let mut tries = 0;
     while next == Next::Again {
-        attempt.sending();
+        attempt.start_run();
         next = attempt.failed(START, Failure::NotRun);
         tries += 1;
     }
@@ -75,7 +75,7 @@
 #[gtest]
 fn failed_no_time_left() {
     let mut attempt = attempt(Repeat::Whole, 3);
-    attempt.sending();
+    attempt.start_run();
     let late = START + Duration::from_millis(4_990);
     expect_that!(attempt.failed(late, Failure::Lost), eq(Next::Fail));
 }
@@ -83,7 +83,7 @@
 #[gtest]
 fn failed_own_error_passed_on() {
     let mut attempt = attempt(Repeat::Whole, 1);
-    attempt.sending();
+    attempt.start_run();
     expect_that!(attempt.failed(START, Failure::Answered), eq(Next::Pass));
 }
 
@@ -121,15 +121,15 @@
         let mut ran = 0;
         let mut begun = false;
         let mut numbered = true;
-        attempt.sending();
+        attempt.start_run();
         ran += 1;
         for step in steps {
             let failure = match step {
                 Step::Events(last) => {
                     begun = true;
                     numbered = last.is_some();
-                    attempt.begin();
-                    attempt.passed(last);
+                    attempt.start_answer();
+                    attempt.forwarded(last);
                     continue;
                 }
                 Step::NotRun if begun => Failure::Lost,
@@ -144,7 +144,7 @@
                 Next::Again => {
                     prop_assert!(ran == 0 || repeat != Repeat::Never);
                     prop_assert!(!begun || (repeat == Repeat::Resume && numbered));
-                    attempt.sending();
+                    attempt.start_run();
                     ran += 1;
                     prop_assert!(ran <= most);
                 }
--- a/tests/catalog_book.rs
+++ b/tests/catalog_book.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use auburnspoke::catalog::Endpoint;
-use auburnspoke::catalog::book::{Book, Entry};
+use auburnspoke::catalog::registry::{Entry, Registry};
 use auburnspoke::clock::Time;
 use googletest::prelude::*;
 use rand::{Rng as _, SeedableRng as _};
@@ -38,13 +38,13 @@
     }
 }
 
-fn ids(book: &Book) -> Vec<String> {
+fn ids(book: &Registry) -> Vec<String> {
     book.endpoints().keys().map(ToString::to_string).collect()
 }
 
 #[gtest]
 fn apply_new_and_removed() {
-    let mut book = Book::default();
+    let mut book = Registry::default();
     expect_that!(book.apply(at(0), entry("a", 3, true)), eq(true));
     expect_that!(book.apply(at(1), removed("a", 4)), eq(true));
     expect_that!(ids(&book), is_empty());
@@ -54,7 +54,7 @@
 /// request sent there would be cut short or refused.
 #[gtest]
 fn apply_older_news() {
-    let mut book = Book::default();
+    let mut book = Registry::default();
     book.apply(at(0), entry("a", 3, true));
     book.apply(at(1), entry("a", 5, false));
     expect_that!(book.apply(at(2), entry("a", 3, true)), eq(false));
@@ -69,7 +69,7 @@
 /// request although every endpoint works.
 #[gtest]
 fn replace_lapsed_while_store_away() {
-    let mut book = Book::default();
+    let mut book = Registry::default();
     book.apply(at(0), entry("a", 3, true));
     book.apply(at(0), entry("b", 4, true));
     book.store_failed(at(5_000));
@@ -84,7 +84,7 @@
 /// shaky. It must not be kept as if it might come back.
 #[gtest]
 fn replace_leaving_while_store_away() {
-    let mut book = Book::default();
+    let mut book = Registry::default();
     book.apply(at(0), entry("a", 3, false));
     book.store_failed(at(5_000));
     book.replace(at(5_100), Vec::new(), 9);
@@ -94,7 +94,7 @@
 /// Nothing was wrong with the store, so an entry that goes is gone at once.
 #[gtest]
 fn replace_removed_calm() {
-    let mut book = Book::default();
+    let mut book = Registry::default();
     book.apply(at(0), entry("a", 3, true));
     book.replace(at(100), Vec::new(), 9);
     expect_that!(ids(&book), is_empty());
@@ -103,7 +103,7 @@
 /// A whole reading that began before an endpoint registered must not remove it.
 #[gtest]
 fn replace_older_than_entry() {
-    let mut book = Book::default();
+    let mut book = Registry::default();
     book.apply(at(0), entry("a", 12, true));
     book.replace(at(1), Vec::new(), 9);
     expect_that!(ids(&book), elements_are![eq("a")]);
@@ -113,11 +113,11 @@
 /// whatever the order.
 #[gtest]
 fn entries_to_peer() {
-    let mut book = Book::default();
+    let mut book = Registry::default();
     book.apply(at(0), entry("a", 3, true));
     book.apply(at(0), entry("b", 4, true));
     book.apply(at(1), removed("b", 7));
-    let mut peer = Book::default();
+    let mut peer = Registry::default();
     peer.apply(at(0), entry("b", 4, true));
     for entry in book.entries() {
         peer.apply(at(2), entry);
@@ -131,11 +131,11 @@
 /// although its entry went long ago.
 #[gtest]
 fn expire_not_told_again() {
-    let mut book = Book::default();
+    let mut book = Registry::default();
     book.apply(at(0), entry("a", 3, true));
     book.store_failed(at(5_000));
     book.replace(at(5_100), Vec::new(), 9);
-    let mut late = Book::default();
+    let mut late = Registry::default();
     late.apply(at(0), entry("a", 3, true));
     expect_that!(book.expire(at(7_001)), eq(true));
     for entry in late.entries() {
@@ -149,11 +149,11 @@
 /// removed; it must believe it, however the news came.
 #[gtest]
 fn entries_lapsed_to_peer() {
-    let mut book = Book::default();
+    let mut book = Registry::default();
     book.apply(at(0), entry("a", 3, true));
     book.store_failed(at(5_000));
     book.replace(at(5_100), Vec::new(), 9);
-    let mut peer = Book::default();
+    let mut peer = Registry::default();
     peer.apply(at(0), entry("a", 3, true));
     for entry in book.entries() {
         peer.apply(at(5_200), entry);
@@ -173,7 +173,11 @@
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut log: Vec<Entry> = Vec::new();
         let mut heard = [0; 3];
-        let mut books = [Book::default(), Book::default(), Book::default()];
+        let mut books = [
+            Registry::default(),
+            Registry::default(),
+            Registry::default(),
+        ];
         let mut now = 0;
         for _ in 0..60 {
             now += random.random_range(1..700);
@@ -244,7 +248,7 @@
 /// of the gone ones must not grow without end.
 #[gtest]
 fn apply_many_removed() {
-    let mut book = Book::default();
+    let mut book = Registry::default();
     for number in 0..5_000 {
         book.apply(at(0), entry(&format!("e{number}"), number * 2 + 1, true));
         book.apply(at(0), removed(&format!("e{number}"), number * 2 + 2));
@@ -259,8 +263,8 @@
     // An entry that named a live endpoint is overwritten by something that can't
     // be read, just after the store was away. Nobody knows what listens there
     // now; requests that still went there would fail, or reach another service.
-    let mut book = Book::default();
-    let ids = |book: &Book| book.endpoints().len();
+    let mut book = Registry::default();
+    let ids = |book: &Registry| book.endpoints().len();
     book.replace(at(0), vec![entry("a", 1, true), entry("b", 2, true)], 2);
     book.store_failed(at(100));
     book.refuse(&"a".into(), 5);
--- a/tests/cli/env.rs
+++ b/tests/cli/env.rs
@@ -153,7 +153,7 @@
 /// A refusal that names when to come back.
 pub fn overloaded() -> Refusal {
     Refusal::new(Reason::Overloaded)
-        .because("every endpoint is full")
+        .with_message("every endpoint is full")
         .after(Duration::from_millis(250))
 }
 
--- a/tests/cli_remote.rs
+++ b/tests/cli_remote.rs
@@ -171,7 +171,7 @@
 }
 
 fn leaving() -> Refusal {
-    Refusal::new(Reason::NotReady).because("the node stops; use another address")
+    Refusal::new(Reason::NotReady).with_message("the node stops; use another address")
 }
 
 fn both(first: &Node, second: &Node) -> String {
@@ -405,7 +405,7 @@
 #[gtest]
 fn config_conflict() {
     let node = Node::start(|_, _| {
-        let refusal = Refusal::new(Reason::Conflict).because("version 9 is current");
+        let refusal = Refusal::new(Reason::Conflict).with_message("version 9 is current");
         Reply::Refusal(true, refusal)
     });
     let applied = node.run(&["config", "apply", "--expect-version", "7", "-"], "");
--- a/tests/feed_fleet.rs
+++ b/tests/feed_fleet.rs
@@ -12,8 +12,8 @@
 
 use auburnspoke::clock::{Clock, Time};
 use auburnspoke::edge::count::Count;
-use auburnspoke::edge::learn::{Update, follow};
-use auburnspoke::feed::desk::{Desk, Topic};
+use auburnspoke::edge::learn::{News, follow};
+use auburnspoke::feed::reader::{Reader, Topic};
 use auburnspoke::feed::source::{Ask, Setup, Source};
 use auburnspoke::member::{Member, View};
 use auburnspoke::name::Name;
@@ -136,7 +136,7 @@
 /// The nodes' links.
 #[derive(Default)]
 struct Net {
-    desks: RefCell<BTreeMap<Name, Rc<Desk<Client>>>>,
+    desks: RefCell<BTreeMap<Name, Rc<Reader<Client>>>>,
     /// Nodes that answer late or not at all.
     harmed: RefCell<BTreeMap<Name, Harm>>,
 }
@@ -158,10 +158,10 @@
             }
             Harm::Slow(late) => late,
         };
-        let desk = Rc::clone(self.0.desks.borrow().get(link)?);
+        let reader = Rc::clone(self.0.desks.borrow().get(link)?);
         let answer = async {
             sleep(DELAY).await;
-            let told = desk.tell(&table, after).await;
+            let told = reader.answer(&table, after).await;
             sleep(DELAY + late).await;
             told
         };
@@ -209,8 +209,8 @@
                 store: Rc::clone(&store),
                 at,
             };
-            let desk = Desk::new(clock, client.clone(), TABLES);
-            net.desks.borrow_mut().insert(link(at), desk);
+            let reader = Reader::new(clock, client.clone(), TABLES);
+            net.desks.borrow_mut().insert(link(at), reader);
             let setup = Setup {
                 me: member(at).name,
                 zone: zone(at),
@@ -273,7 +273,7 @@
         let version = self.store.version();
         let desks = self.net.desks.borrow();
         (0..self.known.len())
-            .filter(|at| desks[&link(*at)].follows(TABLE) && version > 0)
+            .filter(|at| desks[&link(*at)].is_following(TABLE) && version > 0)
             .collect()
     }
 }
--- a/tests/feed_source.rs
+++ b/tests/feed_source.rs
@@ -12,7 +12,7 @@
 
 use auburnspoke::clock::Clock;
 use auburnspoke::edge::count::Count;
-use auburnspoke::feed::Told;
+use auburnspoke::feed::Answer;
 use auburnspoke::feed::source::{Ask, Setup, Source};
 use auburnspoke::member::{Member, View};
 use auburnspoke::name::Name;
@@ -71,7 +71,7 @@
 }
 
 fn told(versions: &[u64], version: u64) -> Reply {
-    Reply::Changes(Told::Changes(changes(versions, version)))
+    Reply::Changes(Answer::Changes(changes(versions, version)))
 }
 
 fn member(at: usize, zone: &str) -> Member {
@@ -132,7 +132,7 @@
 fn changes_all_readers_fail() {
     // Both readers of a zone are lost at once: the store is asked, as if there
     // were no readers.
-    let stale = Some(Reply::Changes(Told::Stale));
+    let stale = Some(Reply::Changes(Answer::Stale));
     let (version, asked) = ask(vec![None, stale]);
     expect_that!(version, eq(STORE_VERSION));
     expect_that!(asked.len(), eq(2));
@@ -141,7 +141,7 @@
 #[gtest]
 fn changes_gap() {
     // A reader that has just begun does not know what followed.
-    let (version, _) = ask(vec![Some(Reply::Changes(Told::Gap))]);
+    let (version, _) = ask(vec![Some(Reply::Changes(Answer::Gap))]);
     expect_that!(version, eq(STORE_VERSION));
 }
 
@@ -157,7 +157,7 @@
         told(&[131], 130),
         told(&[120, 110], 130),
         Reply::Announced,
-        Reply::Changes(Told::Foreign),
+        Reply::Changes(Answer::Foreign),
     ];
     for wrong in wrong {
         let (version, asked) = ask(vec![Some(wrong.clone()), Some(told(&[101], 130))]);
--- a/tests/identity_key.rs
+++ b/tests/identity_key.rs
@@ -6,7 +6,7 @@
 use auburnspoke::catalog::keyring::{Holder, Keyring, Organisation};
 use auburnspoke::catalog::{Catalog, Config};
 use auburnspoke::clock::Uptime;
-use auburnspoke::identity::{Credential, Denial, identify, is_sure};
+use auburnspoke::identity::{Credential, Denial, identify, is_fresh};
 use auburnspoke::key::Key;
 use auburnspoke::platform::{call, config, forward, job, organisation};
 use auburnspoke::wire;
@@ -36,15 +36,15 @@
     }
 }
 
-/// A node whose configuration the store vouched for at `vouched`.
-fn node(holders: Vec<Holder>, vouched: Option<Uptime>) -> Catalog {
+/// A node whose configuration the store vouched for at `config_confirmed`.
+fn node(holders: Vec<Holder>, config_confirmed: Option<Uptime>) -> Catalog {
     let config = Config {
         keyring: Some(Arc::new(Keyring::from(holders))),
         ..Config::default()
     };
     Catalog {
         config: Some(Arc::new(config)),
-        vouched,
+        config_confirmed,
         ..Catalog::default()
     }
 }
@@ -75,7 +75,7 @@
     let node = node(vec![holder("a", &[KEY])], Some(at(0)));
     expect_that!(name_of(&node, at(4_400), KEY), ok(eq("a")));
     expect_that!(name_of(&node, at(4_600), KEY), err(eq(&Denial::Unsure)));
-    expect_that!(is_sure(&node, at(4_600), REVOKE), eq(false));
+    expect_that!(is_fresh(&node, at(4_600), REVOKE), eq(false));
     // Where only nodes that can be reached must heed it, it is served on.
     let credential = Credential::Key(key(KEY));
     expect_that!(
--- a/tests/job_support/fleet.rs
+++ b/tests/job_support/fleet.rs
@@ -174,7 +174,7 @@
             return Outcome::NotRun(Refusal::new(Reason::Invalid));
         };
         if &*prompt == "malformed" {
-            return Outcome::NotRun(Refusal::new(Reason::Invalid).because("no such language"));
+            return Outcome::NotRun(Refusal::new(Reason::Invalid).with_message("no such language"));
         }
         self.running.set(self.running.get() + 1);
         let mut slot = Slot {
--- a/tests/limit_explore.rs
+++ b/tests/limit_explore.rs
@@ -132,12 +132,12 @@
 /// lets through too much, other organisations pay for.
 #[gtest]
 fn explore_window_88_nodes() {
-    expect_that!(broken(Way::Keeper, 88, seeds()), is_empty());
+    expect_that!(broken(Way::Coordinator, 88, seeds()), is_empty());
 }
 
 #[gtest]
 fn explore_window_300_nodes() {
-    expect_that!(broken(Way::Keeper, 300, seeds() / 3), is_empty());
+    expect_that!(broken(Way::Coordinator, 300, seeds() / 3), is_empty());
 }
 
 /// Nothing happens, and the organisation sends its usual: it must never hear that
@@ -146,7 +146,7 @@
 fn explore_usual_never_refused() {
     for seed in 0..seeds() / 3 {
         let usual = [2.0, 8.0, 60.0][usize::try_from(seed % 3).unwrap()];
-        let mut fleet = Fleet::new(Way::Keeper, seed, 88, rate(usual), TOLERANCE);
+        let mut fleet = Fleet::new(Way::Coordinator, seed, 88, rate(usual), TOLERANCE);
         traffic(&mut fleet, usual, 88, 0, LENGTH);
         fleet.play();
         expect_that!(fleet.wronged(), eq(0), "seed {seed}");
@@ -161,7 +161,7 @@
     let (mut sent, mut refused) = (0, 0);
     for seed in 0..seeds() / 3 {
         let usual = [2.0, 8.0, 60.0][usize::try_from(seed % 3).unwrap()];
-        let mut fleet = Fleet::new(Way::Keeper, seed, 88, rate(usual), TOLERANCE);
+        let mut fleet = Fleet::new(Way::Coordinator, seed, 88, rate(usual), TOLERANCE);
         traffic(&mut fleet, usual, 88, 0, DAY);
         for node in 0..88 {
             if fleet.random().random_bool(0.5) {
@@ -203,7 +203,7 @@
 #[gtest]
 fn explore_ways_compared() {
     for way in [
-        Way::Keeper,
+        Way::Coordinator,
         Way::EqualPart,
         Way::NoHint,
         Way::NoReach,
@@ -214,7 +214,7 @@
         println!(
             "{way:?}: {wronged:.2} in 100 refused below the limit, {broken} of 360 windows broken"
         );
-        if way == Way::Keeper {
+        if way == Way::Coordinator {
             expect_that!(wronged, eq(0.0));
         }
     }
--- a/tests/limit_explore/fleet.rs
+++ b/tests/limit_explore/fleet.rs
@@ -7,9 +7,9 @@
 
 use auburnspoke::clock::Time;
 use auburnspoke::limit::bucket::Bucket;
-use auburnspoke::limit::keeper::{Keeper, Question, Ruling, Verdict};
+use auburnspoke::limit::coordinator::{Answer, Coordinator, Decision, Query};
+use auburnspoke::limit::isolation::Isolation;
 use auburnspoke::limit::meter::Meter;
-use auburnspoke::limit::reach::Reach;
 use auburnspoke::limit::{Rate, Tolerance};
 use auburnspoke::name::Name;
 use auburnspoke::pool::Key;
@@ -54,7 +54,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Way {
     /// Counted by a keeper, as the product does.
-    Keeper,
+    Coordinator,
     /// The same without the level that gateways pass on to the next keeper.
     NoHint,
     /// The same without lowering the part of a node that is cut off.
@@ -66,9 +66,9 @@
 }
 
 struct Node {
-    keeper: Keeper,
+    keeper: Coordinator,
     meter: Meter,
-    reach: Reach,
+    reach: Isolation,
     /// An equal part of the limit.
     part: Bucket,
     harm: Harm,
@@ -86,7 +86,7 @@
     /// A question arrives at a keeper.
     Asked(usize, Pending),
     /// A verdict arrives at the gateway.
-    Answered(u64, usize, Verdict),
+    Answered(u64, usize, Answer),
     /// A question may be without an answer.
     Look(u64),
     /// A gateway asks a silent keeper whether it is there again.
@@ -99,7 +99,7 @@
 struct Pending {
     gateway: usize,
     seq: u64,
-    question: Question,
+    question: Query,
 }
 
 struct Waiting {
@@ -144,9 +144,9 @@
         let old = start - Duration::from_secs(60);
         let part = rate.per_second / nodes as f64;
         let node = |_| Node {
-            keeper: Keeper::new(old, tolerance),
+            keeper: Coordinator::new(old, tolerance),
             meter: Meter::new(tolerance),
-            reach: Reach::default(),
+            reach: Isolation::default(),
             part: Bucket::new(old, part, (rate.burst / nodes as f64).max(1.0), 1.0),
             harm: Harm::None,
             since: old,
@@ -156,8 +156,8 @@
         };
         let mut all: Vec<Node> = (0..nodes).map(node).collect();
         for node in &mut all {
-            node.keeper.see(old, nodes);
-            node.keeper.see(old + BACK * 10, nodes);
+            node.keeper.set_node_count(old, nodes);
+            node.keeper.set_node_count(old + BACK * 10, nodes);
         }
         Self {
             way,
@@ -229,9 +229,9 @@
             } else {
                 now
             };
-            node.keeper = Keeper::new(started, self.tolerance);
+            node.keeper = Coordinator::new(started, self.tolerance);
             node.meter = Meter::new(self.tolerance);
-            node.reach = Reach::default();
+            node.reach = Isolation::default();
             node.silent.clear();
             node.started = now;
         }
@@ -293,7 +293,7 @@
             let result = node.part.take(now).is_ok();
             return self.decided(now, result);
         }
-        if node.meter.dry(now, &name).is_some() {
+        if node.meter.exhausted_for(now, &name).is_some() {
             self.refused.push(now);
             return;
         }
@@ -323,7 +323,7 @@
                 .meter
                 .hint(self.now, &name, address(keeper)),
         };
-        let question = Question {
+        let question = Query {
             organisation: name,
             rate: self.rate,
             version: 1,
@@ -372,7 +372,7 @@
         if matches!(node.harm, Harm::Killed | Harm::Frozen) {
             return;
         }
-        node.keeper.see(now - node.lag, usable);
+        node.keeper.set_node_count(now - node.lag, usable);
         if !node.keeper.is_settled() && keeper != pending.gateway {
             return;
         }
@@ -384,9 +384,9 @@
             Harm::Cut => now.since(node.since),
             _ => Duration::ZERO,
         };
-        node.reach.see(node.since.max(now - KEYS), nodes);
+        node.reach.set_node_count(node.since.max(now - KEYS), nodes);
         if keeper == pending.gateway
-            && node.reach.is_cut(Some(heard), asked)
+            && node.reach.is_isolated(Some(heard), asked)
             && self.way != Way::NoReach
         {
             return self.alone(pending.seq, nodes);
@@ -402,19 +402,20 @@
         }
     }
 
-    fn answered(&mut self, seq: u64, keeper: usize, verdict: Verdict) {
+    fn answered(&mut self, seq: u64, keeper: usize, verdict: Answer) {
         let Some(waiting) = self.waiting.remove(&seq) else {
             return;
         };
         let name: Name = "a".into();
         let node = &mut self.nodes[waiting.gateway];
         node.silent.remove(&keeper);
-        node.meter.heard(self.now, &name, address(keeper), verdict);
-        match verdict.ruling {
-            Ruling::Pass => self.decided(waiting.sent, true),
-            Ruling::Over(_) => self.decided(waiting.sent, false),
+        node.meter
+            .record_answer(self.now, &name, address(keeper), verdict);
+        match verdict.decision {
+            Decision::Allow => self.decided(waiting.sent, true),
+            Decision::Deny(_) => self.decided(waiting.sent, false),
             // Its caller is sent on.
-            Ruling::Unsettled | Ruling::Alone(_) => {}
+            Decision::Unsettled | Decision::Isolated(_) => {}
         }
     }
 
@@ -460,7 +461,7 @@
         let chance = self.rng.random();
         let name: Name = "a".into();
         let meter = &mut self.nodes[waiting.gateway].meter;
-        let result = meter.alone(self.now, &name, self.rate, nodes, chance);
+        let result = meter.take_isolated(self.now, &name, self.rate, nodes, chance);
         if result {
             self.decided(waiting.sent, true);
         }
--- a/tests/limit_keeper.rs
+++ b/tests/limit_keeper.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use auburnspoke::clock::Time;
-use auburnspoke::limit::keeper::{Hint, Keeper, Question, Ruling, Verdict};
+use auburnspoke::limit::coordinator::{Answer, Coordinator, Decision, Hint, Query};
+use auburnspoke::limit::isolation::Isolation;
 use auburnspoke::limit::meter::Meter;
-use auburnspoke::limit::reach::Reach;
 use auburnspoke::limit::{Rate, Tolerance};
 use auburnspoke::name::Name;
 use auburnspoke::pool::Key;
@@ -39,8 +39,8 @@
     "a".into()
 }
 
-fn question(hint: Option<Hint>) -> Question {
-    Question {
+fn question(hint: Option<Hint>) -> Query {
+    Query {
         organisation: organisation(),
         rate: RATE,
         version: 1,
@@ -49,17 +49,18 @@
 }
 
 /// A keeper that has run for longer than requests are counted.
-fn keeper(tolerance: Tolerance) -> Keeper {
+fn keeper(tolerance: Tolerance) -> Coordinator {
     let before = at(0) - Duration::from_secs(60);
-    let mut keeper = Keeper::new(before, tolerance);
-    keeper.see(before, 88);
-    keeper.see(before + Duration::from_secs(2), 88);
+    let mut keeper = Coordinator::new(before, tolerance);
+    keeper.set_node_count(before, 88);
+    keeper.set_node_count(before + Duration::from_secs(2), 88);
     keeper
 }
 
 /// Asks so often at one time; how many are let through.
-fn flood(keeper: &mut Keeper, now: Time, from: u64, count: u64, hint: Option<Hint>) -> usize {
-    let passes = |seq: &u64| keeper.take(now, key(*seq), &question(hint)).ruling == Ruling::Pass;
+fn flood(keeper: &mut Coordinator, now: Time, from: u64, count: u64, hint: Option<Hint>) -> usize {
+    let passes =
+        |seq: &u64| keeper.take(now, key(*seq), &question(hint)).decision == Decision::Allow;
     (from..from + count).filter(passes).count()
 }
 
@@ -77,7 +78,7 @@
     let mut keeper = keeper(Tolerance::default());
     for again in 0..5 {
         let verdict = keeper.take(at(again * 20), key(1), &question(None));
-        expect_that!(verdict.ruling, eq(Ruling::Pass));
+        expect_that!(verdict.decision, eq(Decision::Allow));
     }
     expect_that!(flood(&mut keeper, at(80), 100, 50, None), eq(9));
 }
@@ -88,10 +89,10 @@
 fn put_back_unrun() {
     let mut keeper = keeper(Tolerance::default());
     flood(&mut keeper, at(0), 0, 50, None);
-    keeper.put_back(at(0), key(3), &organisation());
+    keeper.refund(at(0), key(3), &organisation());
     // Given back twice, or never counted: it frees nothing more.
-    keeper.put_back(at(0), key(3), &organisation());
-    keeper.put_back(at(0), key(49), &organisation());
+    keeper.refund(at(0), key(3), &organisation());
+    keeper.refund(at(0), key(49), &organisation());
     expect_that!(flood(&mut keeper, at(0), 100, 50, None), eq(1));
 }
 
@@ -102,9 +103,9 @@
     flood(&mut keeper, at(0), 0, 10, None);
     let wait = Duration::from_millis(100);
     let before = keeper.take(at(0), key(99), &question(None));
-    expect_that!(before.ruling, eq(Ruling::Over(wait)));
+    expect_that!(before.decision, eq(Decision::Deny(wait)));
     let after = keeper.take(at(0) + wait, key(99), &question(None));
-    expect_that!(after.ruling, eq(Ruling::Pass));
+    expect_that!(after.decision, eq(Decision::Allow));
 }
 
 /// The keeper's node is lost while an organisation floods. With a full bucket at
@@ -120,9 +121,9 @@
 /// All nodes restart at once, and none knows what was let through before.
 #[gtest]
 fn take_just_started() {
-    let mut young = Keeper::new(at(0), Tolerance::default());
-    young.see(at(5), 88);
-    young.see(at(200), 88);
+    let mut young = Coordinator::new(at(0), Tolerance::default());
+    young.set_node_count(at(5), 88);
+    young.set_node_count(at(200), 88);
     expect_that!(flood(&mut young, at(200), 0, 50, None), eq(1));
 }
 
@@ -130,12 +131,12 @@
 /// them only must not count for all.
 #[gtest]
 fn see_members_coming() {
-    let mut young = Keeper::new(at(0), Tolerance::default());
+    let mut young = Coordinator::new(at(0), Tolerance::default());
     for (millis, nodes) in [(0, 1), (100, 3), (200, 20), (300, 87)] {
-        young.see(at(millis), nodes);
+        young.set_node_count(at(millis), nodes);
         expect_that!(young.is_settled(), eq(false));
     }
-    young.see(at(450), 87);
+    young.set_node_count(at(450), 87);
     expect_that!(young.is_settled(), eq(true));
 }
 
@@ -145,7 +146,7 @@
 fn take_lowered() {
     let mut keeper = keeper(Tolerance::default());
     flood(&mut keeper, at(0), 0, 50, None);
-    let lower = Question {
+    let lower = Query {
         rate: Rate {
             per_second: 1.0,
             burst: 1.0,
@@ -157,9 +158,9 @@
     expect_that!(flood(&mut keeper, at(3_000), 100, 50, None), eq(1));
 }
 
-fn over(wait_ms: u64) -> Verdict {
-    Verdict {
-        ruling: Ruling::Over(Duration::from_millis(wait_ms)),
+fn over(wait_ms: u64) -> Answer {
+    Answer {
+        decision: Decision::Deny(Duration::from_millis(wait_ms)),
         tokens: 0.0,
     }
 }
@@ -170,16 +171,16 @@
 fn dry_refused_here() {
     let mut meter = Meter::new(TOLERANCE);
     let name = organisation();
-    expect_that!(meter.dry(at(0), &name), none());
-    expect_that!(meter.is_suspicious(at(0), &name), eq(false));
-    meter.heard(at(0), &name, gateway(1), over(80));
+    expect_that!(meter.exhausted_for(at(0), &name), none());
+    expect_that!(meter.was_over_limit(at(0), &name), eq(false));
+    meter.record_answer(at(0), &name, gateway(1), over(80));
     expect_that!(
-        meter.dry(at(30), &name),
+        meter.exhausted_for(at(30), &name),
         some(eq(Duration::from_millis(50)))
     );
-    expect_that!(meter.dry(at(80), &name), none());
-    expect_that!(meter.is_suspicious(at(900), &name), eq(true));
-    expect_that!(meter.is_suspicious(at(1_100), &name), eq(false));
+    expect_that!(meter.exhausted_for(at(80), &name), none());
+    expect_that!(meter.was_over_limit(at(900), &name), eq(true));
+    expect_that!(meter.was_over_limit(at(1_100), &name), eq(false));
 }
 
 /// A bucket fills hardly or not at all, such as that of a keeper that has just
@@ -188,15 +189,15 @@
 #[gtest]
 fn dry_not_for_long() {
     let mut meter = Meter::new(TOLERANCE);
-    meter.heard(at(0), &organisation(), gateway(1), over(60_000));
-    expect_that!(meter.dry(at(600), &organisation()), none());
+    meter.record_answer(at(0), &organisation(), gateway(1), over(60_000));
+    expect_that!(meter.exhausted_for(at(600), &organisation()), none());
 }
 
 #[gtest]
 fn hint_from_another() {
     let mut meter = Meter::new(TOLERANCE);
     let name = organisation();
-    meter.heard(at(0), &name, gateway(1), over(80));
+    meter.record_answer(at(0), &name, gateway(1), over(80));
     expect_that!(meter.hint(at(50), &name, gateway(1)), none());
     let hint = meter.hint(at(50), &name, gateway(2)).unwrap();
     expect_that!(hint.age, eq(Duration::from_millis(50)));
@@ -213,7 +214,7 @@
         let mut meter = Meter::new(TOLERANCE);
         let chance = f64::from(node) / 88.0;
         for tick in 0..500 {
-            let result = meter.alone(at(tick * 10), &name, RATE, 88, chance);
+            let result = meter.take_isolated(at(tick * 10), &name, RATE, 88, chance);
             passed += u32::from(result);
         }
     }
@@ -226,21 +227,21 @@
 /// it through, beside what the others do.
 #[gtest]
 fn is_cut_off() {
-    let mut reach = Reach::default();
+    let mut reach = Isolation::default();
     let fresh = Some(Duration::from_millis(500));
     let old = Some(Duration::from_secs(3));
     let lately = Duration::from_millis(100);
     let long = Duration::from_secs(1);
-    reach.see(at(0), 88);
+    reach.set_node_count(at(0), 88);
     // Before and after the others are taken for lost.
-    expect_that!(reach.is_cut(old, long), eq(true));
-    reach.see(at(3_000), 1);
-    expect_that!(reach.is_cut(old, long), eq(true));
+    expect_that!(reach.is_isolated(old, long), eq(true));
+    reach.set_node_count(at(3_000), 1);
+    expect_that!(reach.is_isolated(old, long), eq(true));
     expect_that!(reach.nodes(), eq(88));
     // The others are lost indeed: the store still answers.
-    expect_that!(reach.is_cut(fresh, long), eq(false));
+    expect_that!(reach.is_isolated(fresh, long), eq(false));
     // The store is away for all, and they still ask this node.
-    expect_that!(reach.is_cut(old, lately), eq(false));
-    reach.see(at(20_000), 1);
-    expect_that!(reach.is_cut(old, long), eq(false));
+    expect_that!(reach.is_isolated(old, lately), eq(false));
+    reach.set_node_count(at(20_000), 1);
+    expect_that!(reach.is_isolated(old, long), eq(false));
 }
--- a/tests/limit_shares.rs
+++ b/tests/limit_shares.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use auburnspoke::clock::Time;
-use auburnspoke::limit::{Bound, Demand, Gate, Limiter, Owner};
+use auburnspoke::limit::{Admission, Bound, Demand, Limiter, Owner};
 use auburnspoke::name::Name;
 use auburnspoke::outcome::Reason;
 use auburnspoke::request::Class;
@@ -128,21 +128,21 @@
 #[gtest]
 fn gate_sheds_batch_first() {
     let organisation: Name = "trust".into();
-    let mut gate = Gate::new(10);
+    let mut gate = Admission::new(10);
     for _ in 0..7 {
-        expect_that!(gate.enter(Class::Batch, &organisation), ok(()));
+        expect_that!(gate.admit(Class::Batch, &organisation), ok(()));
     }
-    expect_that!(gate.enter(Class::Batch, &organisation), err(anything()));
-    expect_that!(gate.enter(Class::Online, &organisation), ok(()));
+    expect_that!(gate.admit(Class::Batch, &organisation), err(anything()));
+    expect_that!(gate.admit(Class::Online, &organisation), ok(()));
 }
 
 #[gtest]
 fn gate_fair_when_full() {
     // One organisation fills a gateway; a clerk of another one still gets in.
     let (noisy, quiet): (Name, Name) = ("noisy".into(), "quiet".into());
-    let mut gate = Gate::new(10);
-    let entered = (0..20).filter(|_| gate.enter(Class::Online, &noisy).is_ok());
+    let mut gate = Admission::new(10);
+    let entered = (0..20).filter(|_| gate.admit(Class::Online, &noisy).is_ok());
     expect_that!(entered.count(), eq(8));
-    expect_that!(gate.enter(Class::Online, &quiet), ok(()));
-    expect_that!(gate.enter(Class::Online, &noisy), err(anything()));
+    expect_that!(gate.admit(Class::Online, &quiet), ok(()));
+    expect_that!(gate.admit(Class::Online, &noisy), err(anything()));
 }
--- a/tests/once_marks.rs
+++ b/tests/once_marks.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use auburnspoke::name::Name;
-use auburnspoke::once::{Fate, Group, Key, Marks, Verdict};
+use auburnspoke::once::{Group, Key, Marks, Status, Step};
 use auburnspoke::outcome::Reason;
 use auburnspoke::table::fault::Command;
 use auburnspoke::table::memory::Platform;
@@ -247,15 +247,15 @@
             if late.len() > 1 {
                 let _ = insert(&late.remove(0));
             }
-            if let Verdict::Read(row) = group.answered(&answer) {
+            if let Step::Read(row) = group.apply_answer(&answer) {
                 let found = platform.borrow().get(&row).cloned();
-                group.read(&row, &Ok(found.map(Into::into)));
+                group.apply_row(&row, &Ok(found.map(Into::into)));
             }
         }
-        let fates: Vec<Vec<Fate>> = groups.iter().map(|group| group.fates().collect()).collect();
-        for (number, (one, other)) in fates[0].iter().zip(&fates[1]).enumerate() {
+        let statuses: Vec<Vec<Status>> = groups.iter().map(|group| group.statuses().collect()).collect();
+        for (number, (one, other)) in statuses[0].iter().zip(&statuses[1]).enumerate() {
             prop_assert!(
-                !(*one == Fate::Marked && *other == Fate::Marked),
+                !(*one == Status::Marked && *other == Status::Marked),
                 "key {number} is marked for two"
             );
         }
--- a/tests/quarantine_evidence.rs
+++ b/tests/quarantine_evidence.rs
@@ -7,8 +7,8 @@
 use auburnspoke::pool::message::{Class, End, Requirements};
 use auburnspoke::pool::{Action, Key, Pool};
 use auburnspoke::quarantine::Fingerprint;
-use auburnspoke::quarantine::evidence::{Crash, Evidence, Moment, Standing};
-use auburnspoke::quarantine::loss::{Entry, Finding, judge, judge_later};
+use auburnspoke::quarantine::evidence::{Crash, Evidence, Stage, Status};
+use auburnspoke::quarantine::loss::{Entry, Finding, classify, classify_later};
 use auburnspoke::quarantine::record::Observation;
 use googletest::prelude::*;
 
@@ -31,9 +31,9 @@
 
 fn crashed(evidence: &mut Evidence, now: Time, number: u64, requests: &[Fingerprint]) {
     for request in requests {
-        evidence.add(now, crash(number), *request, Moment::Soon);
+        evidence.add_crash(now, crash(number), *request, Stage::Early);
     }
-    evidence.weigh(now);
+    evidence.update_blame(now);
 }
 
 fn verdicts(evidence: &mut Evidence, now: Time) -> Vec<Fingerprint> {
@@ -48,12 +48,12 @@
         crashed(&mut evidence, at(number), number, &[KILLER]);
     }
     expect_that!(
-        evidence.standing(at(2), KILLER),
-        matches_pattern!(Standing::Held(_))
+        evidence.status(at(2), KILLER),
+        matches_pattern!(Status::Held(_))
     );
     expect_that!(verdicts(&mut evidence, at(2)), is_empty());
     expect_that!(verdicts(&mut evidence, at(900)), elements_are![eq(&KILLER)]);
-    expect_that!(evidence.standing(at(900), KILLER), eq(Standing::Condemned));
+    expect_that!(evidence.status(at(900), KILLER), eq(Status::Condemned));
 }
 
 /// A batch item runs for seconds and is run again after each crash. On a day on which
@@ -63,7 +63,7 @@
     let mut evidence = Evidence::default();
     for number in 0..6 {
         expect_that!(verdicts(&mut evidence, at(1_000 * number)), is_empty());
-        evidence.add(at(1_000 * number), crash(number), OTHER, Moment::Late);
+        evidence.add_crash(at(1_000 * number), crash(number), OTHER, Stage::Late);
     }
     expect_that!(
         verdicts(&mut evidence, at(7_000)),
@@ -79,7 +79,7 @@
         crashed(&mut evidence, at(0), 1, &[KILLER]);
     }
     expect_that!(verdicts(&mut evidence, at(1_000)), is_empty());
-    expect_that!(evidence.standing(at(1_000), KILLER), eq(Standing::Suspect));
+    expect_that!(evidence.status(at(1_000), KILLER), eq(Status::Suspect));
 }
 
 /// Another request ran beside the killer at each endpoint but one: it is not to blame.
@@ -91,7 +91,7 @@
     }
     crashed(&mut evidence, at(0), 3, &[KILLER]);
     expect_that!(verdicts(&mut evidence, at(900)), elements_are![eq(&KILLER)]);
-    expect_that!(evidence.standing(at(900), OTHER), eq(Standing::Clear));
+    expect_that!(evidence.status(at(900), OTHER), eq(Status::Clear));
 }
 
 /// Two that ran together each time can't be told apart: both run on, one by one, until
@@ -103,13 +103,13 @@
         crashed(&mut evidence, at(0), number, &[KILLER, OTHER]);
     }
     expect_that!(verdicts(&mut evidence, at(900)), is_empty());
-    expect_that!(evidence.standing(at(900), KILLER), eq(Standing::Suspect));
+    expect_that!(evidence.status(at(900), KILLER), eq(Status::Suspect));
     crashed(&mut evidence, at(1_000), 3, &[KILLER]);
     expect_that!(
         verdicts(&mut evidence, at(1_900)),
         elements_are![eq(&KILLER)]
     );
-    expect_that!(evidence.standing(at(1_900), OTHER), eq(Standing::Clear));
+    expect_that!(evidence.status(at(1_900), OTHER), eq(Status::Clear));
 }
 
 /// Two killers that never run together are both found, in one step.
@@ -132,8 +132,8 @@
     let mut evidence = Evidence::default();
     crashed(&mut evidence, at(0), 1, &[OTHER]);
     crashed(&mut evidence, at(0), 2, &[OTHER]);
-    evidence.clear(at(10), OTHER);
-    expect_that!(evidence.standing(at(10), OTHER), eq(Standing::Clear));
+    evidence.add_completion(at(10), OTHER);
+    expect_that!(evidence.status(at(10), OTHER), eq(Status::Clear));
     crashed(&mut evidence, at(20), 3, &[OTHER]);
     expect_that!(verdicts(&mut evidence, at(1_000)), is_empty());
 }
@@ -149,7 +149,7 @@
     evidence.step(at(900));
     let ended = 900 + TERM;
     evidence.step(at(ended));
-    expect_that!(evidence.standing(at(ended), KILLER), eq(Standing::Suspect));
+    expect_that!(evidence.status(at(ended), KILLER), eq(Status::Suspect));
     crashed(&mut evidence, at(ended + 10), 9, &[KILLER, OTHER]);
     let again = evidence.step(at(ended + 900));
     expect_that!(again, len(eq(1)));
@@ -161,9 +161,9 @@
 #[gtest]
 fn convict_from_store() {
     let mut evidence = Evidence::default();
-    evidence.convict(at(0), KILLER, at(5_000), 1);
-    expect_that!(evidence.standing(at(0), KILLER), eq(Standing::Condemned));
-    expect_that!(evidence.standing(at(5_000), KILLER), eq(Standing::Suspect));
+    evidence.condemn(at(0), KILLER, at(5_000), 1);
+    expect_that!(evidence.status(at(0), KILLER), eq(Status::Condemned));
+    expect_that!(evidence.status(at(5_000), KILLER), eq(Status::Suspect));
 }
 
 /// A flood of different requests that each crash an endpoint must not take memory
@@ -188,32 +188,32 @@
 /// crash.
 #[gtest]
 fn judge_causes() {
-    use Finding::{Crashed, Innocent, Open};
+    use Finding::{Crashed, NotCrashed, Undecided};
     let now = [
-        (Entry::Ready, Reachability::Refused, Crashed),
-        (Entry::Replaced, Reachability::Open, Crashed),
-        (Entry::Ready, Reachability::Open, Open),
-        (Entry::Ready, Reachability::Silent, Open),
-        (Entry::Draining, Reachability::Refused, Innocent),
-        (Entry::Gone, Reachability::Refused, Innocent),
+        (Entry::Ready, Listener::Refused, Crashed),
+        (Entry::Replaced, Listener::Open, Crashed),
+        (Entry::Ready, Listener::Open, Undecided),
+        (Entry::Ready, Listener::Silent, Undecided),
+        (Entry::Draining, Listener::Refused, NotCrashed),
+        (Entry::Gone, Listener::Refused, NotCrashed),
     ];
     for (entry, listener, finding) in now {
         expect_that!(
-            judge(entry, listener),
+            classify(entry, listener),
             eq(finding),
             "{entry:?} {listener:?}"
         );
     }
     let later = [
-        (Entry::Ready, Reachability::Open, Open),
-        (Entry::Replaced, Reachability::Open, Crashed),
-        (Entry::Gone, Reachability::Silent, Crashed),
-        (Entry::Gone, Reachability::Open, Innocent),
-        (Entry::Draining, Reachability::Refused, Innocent),
+        (Entry::Ready, Listener::Open, Undecided),
+        (Entry::Replaced, Listener::Open, Crashed),
+        (Entry::Gone, Listener::Silent, Crashed),
+        (Entry::Gone, Listener::Open, NotCrashed),
+        (Entry::Draining, Listener::Refused, NotCrashed),
     ];
     for (entry, listener, finding) in later {
         expect_that!(
-            judge_later(entry, listener),
+            classify_later(entry, listener),
             eq(finding),
             "{entry:?} {listener:?}"
         );
@@ -223,9 +223,9 @@
 #[gtest]
 fn note_round() {
     for observation in [
-        Observation::Crashed(KILLER, crash(7), Moment::Soon),
-        Observation::Crashed(KILLER, crash(7), Moment::Late),
-        Observation::Sound(OTHER),
+        Observation::Crashed(KILLER, crash(7), Stage::Early),
+        Observation::Crashed(KILLER, crash(7), Stage::Late),
+        Observation::Completed(OTHER),
     ] {
         let note = observation.note(1);
         expect_that!(Observation::read(&note), some(eq(&observation)));
--- a/tests/quarantine_explore/fleet.rs
+++ b/tests/quarantine_explore/fleet.rs
@@ -10,7 +10,7 @@
 use auburnspoke::pool::message::{Class, End, Requirements};
 use auburnspoke::pool::{Action, Key, Pool};
 use auburnspoke::quarantine::Fingerprint;
-use auburnspoke::quarantine::evidence::{Added, Crash, Evidence, Moment, Standing};
+use auburnspoke::quarantine::evidence::{Added, Crash, Evidence, Stage, Status};
 use auburnspoke::quarantine::record::Observation;
 use rand::{Rng as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
@@ -205,7 +205,7 @@
             self.revive();
             self.place();
             if self.now.is_multiple_of(TICK) {
-                self.judge();
+                self.classify();
             }
             if self.now.is_multiple_of(READ) {
                 self.read_store();
@@ -266,7 +266,7 @@
                 && self.learn(to, &observation)
                 && let Observation::Crashed(request, _, _) = observation
             {
-                self.tell(to, &Observation::Sound(request));
+                self.tell(to, &Observation::Completed(request));
             }
         }
     }
@@ -276,15 +276,17 @@
         let now = time(self.now);
         let node = &mut self.nodes[at];
         match observation {
-            Observation::Crashed(request, crash, moment) => {
+            Observation::Crashed(request, crash, stage) => {
                 let crashes = node.naive.entry(request.0).or_default();
                 crashes.insert(crash.clone());
-                let added = node.evidence.add(now, crash.clone(), *request, *moment);
+                let added = node
+                    .evidence
+                    .add_crash(now, crash.clone(), *request, *stage);
                 added == Added::Refuted(true)
             }
-            Observation::Sound(request) => {
+            Observation::Completed(request) => {
                 node.naive.remove(&request.0);
-                node.evidence.clear(now, *request);
+                node.evidence.add_completion(now, *request);
                 false
             }
         }
@@ -323,17 +325,17 @@
         }
     }
 
-    fn standing(&self, node: usize, request: u64) -> Standing {
+    fn status(&self, node: usize, request: u64) -> Status {
         let node = &self.nodes[node];
         if self.plan.without == Without::Explaining {
             let crashes = node.naive.get(&request).map_or(0, BTreeSet::len);
             return match crashes {
-                0 => Standing::Clear,
-                1 | 2 => Standing::Suspect,
-                _ => Standing::Condemned,
+                0 => Status::Clear,
+                1 | 2 => Status::Suspect,
+                _ => Status::Condemned,
             };
         }
-        node.evidence.standing(time(self.now), Fingerprint(request))
+        node.evidence.status(time(self.now), Fingerprint(request))
     }
 
     fn ask(
@@ -343,8 +345,8 @@
         attempts: u32,
         avoid: Vec<auburnspoke::name::Name>,
     ) {
-        let standing = self.standing(node, request);
-        if standing == Standing::Condemned {
+        let status = self.status(node, request);
+        if status == Status::Condemned {
             if request > INNOCENT {
                 self.outcome.wronged.insert(request);
             }
@@ -365,7 +367,7 @@
             prefix: 0,
             organisation: 0,
             request: Fingerprint(request),
-            suspect: tells && standing != Standing::Clear,
+            suspect: tells && status != Status::Clear,
             avoid: avoid.clone(),
         };
         let waiting = Waiting {
@@ -414,8 +416,8 @@
             .places
             .iter()
             .position(|place| place.endpoint.id == endpoint.id && place.up);
-        let standing = self.standing(waiting.node, waiting.request);
-        let stops = matches!(standing, Standing::Condemned | Standing::Held(_));
+        let status = self.status(waiting.node, waiting.request);
+        let stops = matches!(status, Status::Condemned | Status::Held(_));
         let Some(place) = place.filter(|_| !stops) else {
             let end = if stops { End::Left } else { End::Failed };
             self.pool.release(time(self.now), key, end);
@@ -479,10 +481,10 @@
         if self.plan.without == Without::Clearing {
             return;
         }
-        let sound = Observation::Sound(request);
+        let sound = Observation::Completed(request);
         let node = &mut self.nodes[run.node];
         node.naive.remove(&run.request);
-        if node.evidence.clear(time(self.now), request) {
+        if node.evidence.add_completion(time(self.now), request) {
             self.tell(run.node, &sound);
         }
     }
@@ -501,12 +503,12 @@
             },
             _ => crash,
         };
-        let moment = Moment::of(Duration::from_millis(self.now - run.began));
-        let observation = Observation::Crashed(Fingerprint(run.request), crash, moment);
+        let stage = Stage::of(Duration::from_millis(self.now - run.began));
+        let observation = Observation::Crashed(Fingerprint(run.request), crash, stage);
         if !self.learn(run.node, &observation) {
             self.tell(run.node, &observation);
         }
-        self.nodes[run.node].evidence.weigh(time(self.now));
+        self.nodes[run.node].evidence.update_blame(time(self.now));
     }
 
     fn crash(&mut self, place: usize, by_killer: Option<u64>) {
@@ -562,7 +564,7 @@
         }
     }
 
-    fn judge(&mut self) {
+    fn classify(&mut self) {
         let now = self.now;
         for node in &mut self.nodes {
             let reached = node.evidence.step(time(now));
@@ -584,7 +586,7 @@
                 continue;
             }
             for (request, until) in &self.store {
-                node.evidence.convict(time(now), *request, time(*until), 1);
+                node.evidence.condemn(time(now), *request, time(*until), 1);
             }
         }
     }
--- a/tests/retry_decide.rs
+++ b/tests/retry_decide.rs
@@ -12,7 +12,7 @@
         count: 1,
         once: false,
         time_left: Duration::from_secs(5),
-        elsewhere: true,
+        has_alternative: true,
     }
 }
 
@@ -25,7 +25,7 @@
 }
 
 fn is_again(decision: &Decision) -> bool {
-    matches!(decision, Decision::Again { .. })
+    matches!(decision, Decision::Retry { .. })
 }
 
 fn piece(offset: u32, text: &str) -> Piece {
@@ -46,7 +46,7 @@
     };
     let mut budget = Budget::default();
     let decision = decide(may_have_run(), &once, &mut budget);
-    expect_that!(decision, eq(&Decision::Final(may_have_run())));
+    expect_that!(decision, eq(&Decision::GiveUp(may_have_run())));
     expect_true!(is_again(&decide(not_run(), &once, &mut budget)));
     expect_true!(is_again(&decide(may_have_run(), &attempt(), &mut budget)));
 }
@@ -60,7 +60,7 @@
             ..attempt()
         },
         Attempt {
-            elsewhere: false,
+            has_alternative: false,
             ..attempt()
         },
         Attempt {
--- a/tests/revoke_explore.rs
+++ b/tests/revoke_explore.rs
@@ -46,7 +46,7 @@
 struct Node {
     /// What it has in force: true once it knows of the revocation.
     revoked: bool,
-    vouched: Option<u64>,
+    config_confirmed: Option<u64>,
     /// Until when the store turns it away, it is cut off, or suspended.
     away: u64,
     cut: u64,
@@ -62,7 +62,7 @@
     Uptime::new(Duration::from_millis(1_000_000 + millis))
 }
 
-fn catalog(revoked: bool, vouched: Option<u64>) -> Catalog {
+fn catalog(revoked: bool, config_confirmed: Option<u64>) -> Catalog {
     let keys = if revoked {
         Vec::new()
     } else {
@@ -80,7 +80,7 @@
     };
     Catalog {
         config: Some(Arc::new(config)),
-        vouched: vouched.map(at),
+        config_confirmed: config_confirmed.map(at),
         ..Catalog::default()
     }
 }
@@ -116,14 +116,14 @@
     } else {
         let peer = rng.random_range(0..nodes.len());
         let other = &nodes[peer];
-        let Some(vouched) = other
-            .vouched
+        let Some(config_confirmed) = other
+            .config_confirmed
             .filter(|_| other.cut <= now && other.suspended <= now)
         else {
             return;
         };
         // Its word is as old as its evidence is by its clock.
-        (other.revoked, vouched)
+        (other.revoked, config_confirmed)
     };
     nodes[at].asking = Some((now, now + delay, told.0, told.1));
 }
@@ -134,7 +134,7 @@
     let mut nodes: Vec<Node> = (0..NODES)
         .map(|_| Node {
             revoked: false,
-            vouched: Some(0),
+            config_confirmed: Some(0),
             away: 0,
             cut: 0,
             suspended: 0,
@@ -170,7 +170,7 @@
                     };
                     let date = clock(date, node.stood);
                     node.revoked |= revoked;
-                    node.vouched = node.vouched.max(Some(date));
+                    node.config_confirmed = node.config_confirmed.max(Some(date));
                 }
                 Some((sent, ..)) if now > sent + 1_400 => node.asking = None,
                 Some(_) => {}
@@ -182,9 +182,9 @@
             // A request that was sent at any time since the node last looked.
             let node = &nodes[index];
             let mut catalog = known[usize::from(node.revoked)].clone();
-            catalog.vouched = match dated {
+            catalog.config_confirmed = match dated {
                 Dated::Never => Some(at(now)),
-                _ => node.vouched.map(at),
+                _ => node.config_confirmed.map(at),
             };
             let key = Credential::Key(Key::new(KEY).unwrap());
             let clock = at(clock(now, node.stood));
