--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -58,7 +58,7 @@
     /// Converts the failure to the outcome of the request.
     pub fn outcome(self) -> Outcome<Answer> {
         match self {
-            Self::Unreached(what) => Outcome::NotRun(
+            Self::Unreachable(what) => Outcome::NotRun(
                 Refusal::new(Reason::NoEndpoint)
                     .after(RETRY_AFTER)
                     .with_message(format!(
--- a/src/feed/reader.rs
+++ b/src/feed/reader.rs
@@ -139,8 +139,8 @@
                     followed.buffer.borrow_mut().add(now, changes);
                     topic.gap
                 }
-                Err(Lapse::Gone) => break "history_dropped",
-                Err(Lapse::Fault(fault)) => {
+                Err(FeedError::Gone) => break "history_dropped",
+                Err(FeedError::Fault(fault)) => {
                     followed.buffer.borrow_mut().fail(self.clock.now());
                     match fault {
                         Fault::Refused { retry_after } => retry_after,
--- a/src/job/accept.rs
+++ b/src/job/accept.rs
@@ -186,7 +186,7 @@
     }
     let long = |item: &Item| item.prompt.len() > MAX_PROMPT_BYTES;
     if let Some(number) = submission.items.iter().position(long) {
-        let message = format!("item {number} has a prompt above {MAX_PROMPT} bytes");
+        let message = format!("item {number} has a prompt above {MAX_PROMPT_BYTES} bytes");
         return Err(Refusal::new(Reason::TooLarge).with_message(message));
     }
     distinct(&submission.items)
--- a/src/quarantine/detector.rs
+++ b/src/quarantine/detector.rs
@@ -203,7 +203,7 @@
         match evidence.add_crash(now, crash.clone(), request, stage) {
             Added::New => {
                 evidence.update_blame(now);
-                self.setup.count.blame();
+                self.setup.count.record_lost_run();
                 self.tell(&Observation::Crashed(request, crash, stage), 1);
             }
             Added::Ignored | Added::Refuted(_) => {}
@@ -291,7 +291,7 @@
                 condemnation.term.as_secs(),
                 endpoints.join(","),
             );
-            self.setup.count.condemn();
+            self.setup.count.record_verdict();
             let request = condemnation.request;
             let unsaved = Unsaved {
                 reached: now,
--- a/src/quarantine/loss.rs
+++ b/src/quarantine/loss.rs
@@ -50,22 +50,22 @@
 /// What the entry and the listener say just after a run was lost. An endpoint that
 /// leaves, or had left, breaks off what it has not ended by then; a lost answer, a
 /// reset or cut path and a spoiled answer leave the process where it is.
-pub fn classify(entry: Entry, listener: Listener) -> Finding {
+pub fn classify(entry: Entry, listener: Reachability) -> Finding {
     match (entry, listener) {
-        (Entry::Replaced, _) | (Entry::Ready, Listener::Refused) => Finding::Crashed,
-        (Entry::Ready, Listener::Open | Listener::Silent) => Finding::Undecided,
+        (Entry::Replaced, _) | (Entry::Ready, Reachability::Refused) => Finding::Crashed,
+        (Entry::Ready, Reachability::Open | Reachability::Silent) => Finding::Undecided,
         (Entry::Draining | Entry::Gone, _) => Finding::NotCrashed,
     }
 }
 
 /// The same while it is watched further. An endpoint that leaves without saying so
 /// serves on when its entry has gone.
-pub fn classify_later(entry: Entry, listener: Listener) -> Finding {
+pub fn classify_later(entry: Entry, listener: Reachability) -> Finding {
     match (entry, listener) {
         (Entry::Replaced, _) | (Entry::Gone, Reachability::Refused | Reachability::Silent) => {
             Finding::Crashed
         }
         (Entry::Ready, _) => Finding::Undecided,
-        (Entry::Draining, _) | (Entry::Gone, Listener::Open) => Finding::NotCrashed,
+        (Entry::Draining, _) | (Entry::Gone, Reachability::Open) => Finding::NotCrashed,
     }
 }
--- a/src/wire/query.rs
+++ b/src/wire/query.rs
@@ -10,7 +10,7 @@
 use crate::config::Document;
 use crate::config::follow::Report;
 use crate::dispatch::Load;
-use crate::edge::learn::Known;
+use crate::edge::learn::PeerUpdate;
 use crate::feed::Answer;
 use crate::name::Name;
 
--- a/tests/feed_fleet.rs
+++ b/tests/feed_fleet.rs
@@ -12,7 +12,7 @@
 
 use auburnspoke::clock::{Clock, Time};
 use auburnspoke::edge::count::Count;
-use auburnspoke::edge::learn::{News, follow};
+use auburnspoke::edge::learn::{Update, follow};
 use auburnspoke::feed::reader::{Reader, Topic};
 use auburnspoke::feed::source::{Ask, Setup, Source};
 use auburnspoke::member::{Member, View};
--- a/tests/quarantine_evidence.rs
+++ b/tests/quarantine_evidence.rs
@@ -190,12 +190,12 @@
 fn judge_causes() {
     use Finding::{Crashed, NotCrashed, Undecided};
     let now = [
-        (Entry::Ready, Listener::Refused, Crashed),
-        (Entry::Replaced, Listener::Open, Crashed),
-        (Entry::Ready, Listener::Open, Undecided),
-        (Entry::Ready, Listener::Silent, Undecided),
-        (Entry::Draining, Listener::Refused, NotCrashed),
-        (Entry::Gone, Listener::Refused, NotCrashed),
+        (Entry::Ready, Reachability::Refused, Crashed),
+        (Entry::Replaced, Reachability::Open, Crashed),
+        (Entry::Ready, Reachability::Open, Undecided),
+        (Entry::Ready, Reachability::Silent, Undecided),
+        (Entry::Draining, Reachability::Refused, NotCrashed),
+        (Entry::Gone, Reachability::Refused, NotCrashed),
     ];
     for (entry, listener, finding) in now {
         expect_that!(
@@ -205,11 +205,11 @@
         );
     }
     let later = [
-        (Entry::Ready, Listener::Open, Undecided),
-        (Entry::Replaced, Listener::Open, Crashed),
-        (Entry::Gone, Listener::Silent, Crashed),
-        (Entry::Gone, Listener::Open, NotCrashed),
-        (Entry::Draining, Listener::Refused, NotCrashed),
+        (Entry::Ready, Reachability::Open, Undecided),
+        (Entry::Replaced, Reachability::Open, Crashed),
+        (Entry::Gone, Reachability::Silent, Crashed),
+        (Entry::Gone, Reachability::Open, NotCrashed),
+        (Entry::Draining, Reachability::Refused, NotCrashed),
     ];
     for (entry, listener, finding) in later {
         expect_that!(
