--- a/src/edge.rs
+++ b/src/edge.rs
@@ -62,13 +62,14 @@
 
 /// Interval at which a shutdown checks whether all work has ended.
 const STOP_POLL: Duration = Duration::from_millis(50);
-/// Questions of other nodes that may wait.
-const QUESTIONS: usize = 64;
-/// Notes that may wait between the threads.
-const NOTES: usize = 256;
-/// The tables that nodes follow for each other. A configuration is to be in
-/// force within seconds, so it is read on at once; endpoints leave and jobs grow
-/// by many changes a second, which are cheaper read together.
+/// Capacity of the queue of other nodes' queries.
+const QUERY_QUEUE: usize = 64;
+/// Capacity of the channels that carry notes between the two threads.
+const NOTE_QUEUE: usize = 256;
+/// Tables whose changes nodes relay to each other, with the shortest interval between two reads
+/// of each. A configuration must be in force within seconds, so it is read almost immediately;
+/// endpoints and jobs change many times per second, and reading several changes at once is
+/// cheaper.
 const TOPICS: &[reader::Topic] = &[
     reader::Topic {
         table: config::TABLE,
@@ -313,7 +314,7 @@
         }
     });
     let desk = reader::Reader::new(shared.clock, Client::new(address), TOPICS);
-    actix_rt::spawn(answer(asked, Rc::clone(&learner), desk));
+    actix_rt::spawn(answer(queued, Rc::clone(&learner), desk));
     let store = Client::new(address);
     let roster = Rc::new(roster::Registration::new(store, setup.me.vm()));
     let registration = Rc::clone(&roster);
@@ -335,9 +336,9 @@
             Query::Changes { table, after } => {
                 let desk = Rc::clone(&desk);
                 actix_rt::spawn(async move {
-                    let told = desk.answer(&table, after).await;
-                    // A failure means that the asker has gone.
-                    let _ = reply.send(Reply::Changes(told));
+                    let changes = desk.answer(&table, after).await;
+                    // An error means that the querying node has disconnected.
+                    let _ = reply.send(Reply::Changes(changes));
                 });
                 continue;
             }
--- a/src/edge/learn.rs
+++ b/src/edge/learn.rs
@@ -409,9 +409,9 @@
     (entries, unreadable)
 }
 
-/// Takes rows that can't be read: they name no endpoint to use.
-fn refuse(book: &mut Registry, others: &[Unreadable]) {
-    for Unreadable { id, version, why } in others {
+/// Marks the endpoints of unparsable rows as unusable: such a row gives no valid address.
+fn mark_unreadable(book: &mut Registry, unreadable: &[Unreadable]) {
+    for Unreadable { id, version, why } in unreadable {
         log::warn!("{} key={id} why=\"{why}\"", event::ROW_UNREADABLE);
         book.refuse(id, *version);
     }
--- a/src/edge/relay.rs
+++ b/src/edge/relay.rs
@@ -175,7 +175,7 @@
             let want = self.want(now, left);
             let admitted = tokio::select! {
                 biased;
-                () = ward.until_condemned(request) => return self.condemned().await,
+                () = ward.until_condemned(request) => return self.reject_condemned().await,
                 admitted = timeout(left, self.admit(want)) => admitted,
             };
             let permit = match admitted {
@@ -194,7 +194,7 @@
             let began = self.node.clock.now();
             let ended = tokio::select! {
                 biased;
-                () = ward.until_condemned(request) => return self.condemned().await,
+                () = ward.until_condemned(request) => return self.reject_condemned().await,
                 ended = self.exchange(&permit) => ended,
             };
             let (next, why) = match ended {
@@ -225,7 +225,7 @@
                     permit.finish(end);
                     let now = self.node.clock.now();
                     let next = self.attempt.failed(now, failure);
-                    self.spend(!self.attempt.is_not_run());
+                    self.mark_spent(!self.attempt.is_not_run());
                     (next, why)
                 }
             };
@@ -250,8 +250,8 @@
         let deadline = self.attempt.deadline();
         let endpoint = &permit.endpoint;
         self.attempt.start_run();
-        // Before anything is sent: this task may end at any point.
-        self.spend(true);
+        // Set before anything is sent, because this task may be aborted at any await point.
+        self.mark_spent(true);
         let opened = connect::open(endpoint.address, CONNECT_TIMEOUT).await;
         let Ok(mut conn) = opened else {
             return Ended::Failed(Failure::NotRun, End::Failed, "connect");
@@ -283,9 +283,9 @@
         }
     }
 
-    /// How long an endpoint may be silent: for good where nothing else can be
-    /// tried.
-    fn silence(&self, usual: Duration, left: Duration) -> Duration {
+    /// How long an endpoint may be silent: until the deadline if the request can't be retried
+    /// elsewhere.
+    fn silence_limit(&self, usual: Duration, left: Duration) -> Duration {
         if self.attempt.can_fail_over() {
             usual.min(left)
         } else {
--- a/src/edge/relay/admit.rs
+++ b/src/edge/relay/admit.rs
@@ -64,9 +64,9 @@
 
     pub(super) fn want(&self, now: Time, left: Duration) -> Claim {
         let goal = self.call.arrived + self.call.route.goal;
-        // A stream that has begun must go on; everything else is better told
-        // to come back than kept waiting past its aim.
-        let patience = if self.attempt.has_begun() || !self.attempt.is_not_run() {
+        // A stream that has begun must be completed, so it may wait until the deadline. Any
+        // other request is rejected with a retry delay once its latency goal can't be met.
+        let max_wait = if self.attempt.has_begun() || !self.attempt.is_not_run() {
             left
         } else {
             goal.since(now).saturating_sub(START_RESERVE)
@@ -90,7 +90,7 @@
     }
 
     fn is_suspect(&self) -> bool {
-        self.node.ward.status(self.call.print) != Status::Clear
+        self.node.ward.status(self.call.fingerprint) != Status::Clear
     }
 
     /// An organisation's own priority overrides that of its route.
