--- a/src/batch/run.rs
+++ b/src/batch/run.rs
@@ -53,10 +53,10 @@
         return requeue(&jobs, &work, item, "no_route");
     };
     let ward = Rc::clone(&jobs.setup.ward);
-    let request = work.print(item);
+    let request = work.fingerprint(item);
     let suspect = match ward.status(request) {
-        Status::Condemned => return condemned(&jobs, &work, item),
-        Status::Held(_) => return back(&jobs, &work, item, "held"),
+        Status::Condemned => return suspend(&jobs, &work, item),
+        Status::Held(_) => return requeue(&jobs, &work, item, "held"),
         Status::Suspect => true,
         Status::Clear => false,
     };
@@ -95,9 +95,9 @@
     let exit = tokio::select! {
         // Reclaiming the slot has priority.
         biased;
-        () = permit.stopped() => Ended::Stopped,
-        () = ward.until_condemned(request) => Ended::Condemned,
-        ended = exchange(&work, item, &forward, &permit) => ended,
+        () = permit.stopped() => Exit::Stopped,
+        () = ward.until_condemned(request) => Exit::Condemned,
+        exit = exchange(&work, item, &forward, &permit) => exit,
     };
     let took = jobs.now().since(began);
     work.run_time.borrow_mut()[item] += took;
@@ -113,13 +113,13 @@
                 why,
             };
             match ward.investigate(&permit.endpoint, run).await {
-                Finding::Crashed => Ended::Broken(End::Crashed, why),
-                Finding::NotCrashed | Finding::Undecided => Ended::Broken(End::Error, why),
+                Finding::Crashed => Exit::Interrupted(End::Crashed, why),
+                Finding::NotCrashed | Finding::Undecided => Exit::Interrupted(End::Error, why),
             }
         }
-        Ended::Done => {
+        Exit::Done => {
             ward.completed(request);
-            Ended::Done
+            Exit::Done
         }
         exit => exit,
     };
--- a/src/batch/shell.rs
+++ b/src/batch/shell.rs
@@ -63,7 +63,7 @@
     pub result_retention: Duration,
     /// Admission control.
     pub desk: Rc<Desk>,
-    /// The quarantine.
+    /// The quarantine for requests that crash endpoints.
     pub ward: Rc<Detector>,
     /// Configuration and endpoints.
     pub catalog: Arc<Cell<Catalog>>,
