--- a/src/batch/run.rs
+++ b/src/batch/run.rs
@@ -16,7 +16,7 @@
 use crate::event;
 use crate::permit::{Claim, Permit};
 use crate::platform::forward::{self, Forward, Verdict};
-use crate::pool::message::{Ask, Class, End};
+use crate::pool::message::{Class, End, Requirements};
 use crate::quarantine::detector::Run;
 use crate::quarantine::evidence::Status;
 use crate::quarantine::loss::Finding;
--- a/src/batch/shell.rs
+++ b/src/batch/shell.rs
@@ -62,7 +62,7 @@
     /// Retention period of results.
     pub result_retention: Duration,
     /// Admission control.
-    pub desk: Rc<Desk>,
+    pub desk: Rc<Broker>,
     /// The quarantine for requests that crash endpoints.
     pub ward: Rc<Detector>,
     /// Configuration and endpoints.
--- a/src/edge/node.rs
+++ b/src/edge/node.rs
@@ -11,7 +11,7 @@
 use crate::leave::Phase;
 use crate::member::View;
 use crate::name::Name;
-use crate::permit::Desk;
+use crate::permit::Broker;
 use crate::quarantine::Detector;
 use crate::site::Site;
 use crate::snapshot::Cell;
--- a/src/edge/relay/admit.rs
+++ b/src/edge/relay/admit.rs
@@ -14,7 +14,7 @@
 use crate::permit::count::{Denial, Limited};
 use crate::permit::{Claim, Permit, Refusal};
 use crate::platform::call;
-use crate::pool::message::{Ask, Class};
+use crate::pool::message::{Class, Requirements};
 use crate::quarantine::evidence::Status;
 
 /// Why a request was not admitted.
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -58,25 +58,21 @@
     /// Converts the failure to the outcome of the request.
     pub fn outcome(self) -> Outcome<Answer> {
         match self {
-            Self::Unreachable(what) => Outcome::NotRun(
-                Refusal::new(Reason::NoEndpoint)
-                    .after(RETRY_AFTER)
-                    .with_message(format!(
-                        "the endpoint can't be reached ({what}); come back later"
-                    )),
-            ),
+            Self::Unreachable(what) => {
+                Outcome::NotRun(Refusal::new(Reason::NoEndpoint).after(RETRY_AFTER).with_message(
+                    format!("the endpoint can't be reached ({what}); retry later"),
+                ))
+            }
             Self::Broken(what) => Outcome::MayHaveRun(
                 Refusal::new(Reason::EndpointFailed)
                     .after(RETRY_AFTER)
                     .with_message(format!(
-                        "the endpoint broke off ({what}); send it again if it may be repeated"
+                        "the endpoint failed during the run ({what}); retry if the request may be repeated"
                     )),
             ),
-            Self::Rejected(what) => {
-                Outcome::MayHaveRun(Refusal::new(Reason::Invalid).with_message(format!(
-                    "the endpoint rejects it: {what}; correct the request"
-                )))
-            }
+            Self::Rejected(what) => Outcome::MayHaveRun(Refusal::new(Reason::Invalid).with_message(
+                format!("the endpoint rejected the request: {what}; correct it"),
+            )),
         }
     }
 }
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -143,7 +143,7 @@
             links: Pool::new(shared.node.clone()),
             router: RefCell::new(Router::new(shared.zone.clone(), rand::random())),
             limiter: RefCell::new(Limiter::new(1)),
-            gate: RefCell::new(Admission::new(CAPACITY)),
+            gate: RefCell::new(Admission::new(MAX_IN_FLIGHT)),
             budget: RefCell::default(),
             avoided: RefCell::default(),
             last_attempt: Cell::new(0),
@@ -207,7 +207,7 @@
             outcome = self.admit(request, pieces) => outcome,
             // Dropping the request cancels it at the endpoint.
             _ = cut.wait_for(|cut| *cut) => Outcome::MayHaveRun(
-                Refusal::new(Reason::NotReady).with_message("the node stops; use another address"),
+                Refusal::new(Reason::NotReady).with_message("the node is shutting down; use another address"),
             ),
         };
         if let Outcome::NotRun(refusal) | Outcome::MayHaveRun(refusal) = &outcome {
@@ -284,7 +284,7 @@
             if remaining.is_zero() {
                 return conclude(ran, Refusal::new(Reason::Deadline));
             }
-            if self.is_condemned(print).await {
+            if self.is_condemned(fingerprint).await {
                 let refusal = Refusal::new(Reason::Invalid).with_message(
                     "endpoints that run this request crash; it is not run any more, so don't \
                      send it again",
@@ -342,7 +342,7 @@
         }
     }
 
-    fn tell_sound(&self, request: Fingerprint) {
+    fn report_sound(&self, request: Fingerprint) {
         if self.shared.quarantine.statuses().read().is_suspect(request) {
             let sound = Observation::Completed(request);
             self.shared.quarantine.report(sound);
@@ -449,7 +449,7 @@
 pub fn complete(config: &Document, request: &mut Request) -> Result<(), Refusal> {
     let Some(service) = config.services.get(&request.service) else {
         return Err(Refusal::new(Reason::UnknownService).with_message(format!(
-            "there is no service `{}`; `auburnspoke service list` names them",
+            "there is no service `{}`; list them with `auburnspoke service list`",
             request.service
         )));
     };
@@ -464,10 +464,11 @@
             Ok(())
         }
         (Body::Call { .. }, Kind::Plain) => Ok(()),
-        (Body::Prompt { .. }, Kind::Plain) => Err(Refusal::new(Reason::Invalid)
-            .with_message("the service is a plain one; name a path and a body, not a prompt")),
+        (Body::Prompt { .. }, Kind::Plain) => Err(Refusal::new(Reason::Invalid).with_message(
+            "the service is a plain service; send a path and a body instead of a prompt",
+        )),
         (Body::Call { .. }, Kind::Model) => Err(Refusal::new(Reason::Invalid)
-            .with_message("the service is a model; name a prompt, not a path")),
+            .with_message("the service is a model; send a prompt instead of a path")),
     }
 }
 
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -85,7 +85,7 @@
                     attempt.first_token(endpoint, load);
                     if !stream.take(&self.shared, request.class, piece).await {
                         let refusal = Refusal::new(Reason::EndpointFailed)
-                            .with_message("the answer's pieces do not fit together");
+                            .with_message("the pieces of the answer contradict each other");
                         break (Outcome::MayHaveRun(refusal), None);
                     }
                 }
--- a/src/node/control.rs
+++ b/src/node/control.rs
@@ -23,7 +23,7 @@
 use crate::member::shell::{self, Event, Handle, Setup};
 use crate::name::Name;
 use crate::placement;
-use crate::placement::run::Site;
+use crate::placement::run::Context;
 use crate::quarantine::statuses as quarantine;
 use crate::table::Vm;
 use crate::table::http::Client;
