--- a/benches/job.rs
+++ b/benches/job.rs
@@ -1,8 +1,8 @@
-//! Wall time of one node before the platform in memory: items a second, and how
-//! it grows with the items of a job and the number of jobs; memory of a chunk.
+//! Wall time of one node with the in-memory platform: items a second by the size and number of
+//! jobs, and memory of a chunk.
 //!
-//! `cargo bench --bench job`. Bounds on counts are in `tests/job_budget.rs`; these
-//! figures depend on the machine and have none.
+//! `cargo bench --bench job`. Bounds on counts are in `tests/job_budget.rs`; these figures depend
+//! on the machine and have no bounds.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -75,7 +75,7 @@
     }
 }
 
-/// Seconds to accept, and to run, that many jobs of that many items.
+/// Seconds to accept and to run `count` jobs of `size` items.
 async fn measure(count: usize, size: usize) -> (f64, f64) {
     let platform = Platform::new(1);
     let jobs = Jobs::new(platform.clone(), platform.clone());
--- a/src/job.rs
+++ b/src/job.rs
@@ -1,9 +1,8 @@
 //! Batch jobs: every accepted item gets exactly one result, whatever fails.
 //!
-//! [`Jobs`] serves callers and [`runner::Runner`] executes chunks; the two share
-//! nothing but rows and objects, so that any node may be lost at any step.
-//! docs/design/batch.md gives the layout and the proof sketch, docs/BATCH.md
-//! what an operator looks at.
+//! [`Jobs`] serves callers and [`runner::Runner`] executes chunks. The two share only rows and
+//! objects in the platform, so that any node may be lost at any step. docs/design/batch.md
+//! describes the layout and sketches the proof; docs/BATCH.md is for operators.
 
 use std::fmt;
 use std::time::Duration;
@@ -34,12 +33,12 @@
 pub use read::{Listing, Results, Status};
 pub use record::{Counts, Item, Job, State};
 
-/// What the runner needs from the dispatchers of its node.
+/// Interface of the runner to the dispatchers of its node.
 pub trait Execute {
-    /// Batch items that this node would take now for the service.
+    /// Number of batch items that this node would accept now for the service.
     fn capacity(&self, service: &Name) -> usize;
 
-    /// The services that this node dispatches for now.
+    /// The services that this node dispatches for at present.
     fn services(&self) -> Vec<Name>;
 
     /// Runs one item. Dropping the future cancels it at the endpoint.
@@ -49,54 +48,54 @@
 /// How an item ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum End {
-    /// The answer is whole.
+    /// The answer is complete.
     Done,
-    /// It can't be completed; the text says why.
+    /// It cannot be completed; the text gives the reason.
     Failed,
-    /// It must run at most once, and whether it ran is not known.
+    /// It must run at most once, and it is unknown whether it ran.
     MayHaveRun,
     /// Its job was cancelled before it had a result.
     Cancelled,
 }
 
-/// The one result of an item.
+/// The single result of an item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reply {
-    /// Which item of its job, from 0.
+    /// Index of the item in its job, from 0.
     pub number: u32,
-    /// The caller's name of the item; empty when it gave none.
+    /// The caller's key of the item; empty if it gave none.
     pub key: Name,
     /// How it ended.
     pub end: End,
-    /// The generated text, or why there is none.
+    /// The generated text, or the reason why there is none.
     pub text: String,
     /// Tokens generated.
     pub tokens: u32,
-    /// Times it was sent to an endpoint, as far as that was recorded.
+    /// Recorded number of times that it was sent to an endpoint.
     pub attempts: u32,
 }
 
-/// Periods and bounds of batch execution. docs/design/batch.md derives them
-/// from the table's budget.
+/// Intervals and limits of batch execution. docs/design/batch.md derives them from the request
+/// budget of the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Setting {
-    /// A holder that was not seen to renew for this long may be taken over.
+    /// A holder that has not renewed its lease for this long may be taken over.
     pub lease_duration: Duration,
-    /// Time between two renewals of a holder's lease.
+    /// Interval between renewals of a holder's lease.
     pub renew_interval: Duration,
-    /// Time between two flushes of finished results; work redone after a loss
-    /// is at most this much and what ran at the time.
+    /// Interval between flushes of finished results. After a loss, at most this much work is
+    /// redone, plus the items that were running.
     pub flush_interval: Duration,
-    /// Time between two looks at the index of open chunks.
+    /// Interval between reads of the index of open chunks.
     pub poll_interval: Duration,
-    /// Time between two looks at the rows of the jobs held, for cancellations
-    /// whose push was lost.
+    /// Interval between reads of the rows of the jobs held, which detect cancellations whose push
+    /// was lost.
     pub check_interval: Duration,
-    /// Time for which a stopping node lets running items finish.
+    /// Time that a stopping node gives running items to finish.
     pub drain_timeout: Duration,
-    /// Times an item may fail while it runs alone.
+    /// Number of times an item may fail while it runs isolated.
     pub max_attempts: u32,
-    /// Chunks that one node holds at most.
+    /// Most chunks that one node holds.
     pub max_chunks: usize,
 }
 
--- a/src/job/accept.rs
+++ b/src/job/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts jobs, once for each key.
+//! Accepts jobs, exactly once for each key.
 
 use std::time::Duration;
 
@@ -14,48 +14,48 @@
 
 /// Most items of a job.
 pub const MAX_ITEMS: usize = 1_000_000;
-/// Longest prompt of an item, in bytes.
+/// Longest prompt of an item.
 pub const MAX_PROMPT_BYTES: usize = 256 * 1024;
-/// When a job is due if its caller does not say.
-const DUE: Duration = Duration::from_secs(24 * 3_600);
-/// Times that a step is tried again at once after a lost answer.
-const TRIES: usize = 5;
-/// A refusal that asks for less than this is the write limit and not an outage.
-const THROTTLED: Duration = Duration::from_millis(250);
-/// Times that one object waits for the write limit.
-const MAX_THROTTLED: usize = 100;
-/// When to come back after an answer was lost.
-const LOST_ANSWER_WAIT: Duration = Duration::from_secs(1);
+/// Due time of a job whose caller gives none.
+const DEFAULT_DUE: Duration = Duration::from_secs(24 * 3_600);
+/// Immediate retries of a step after lost answers.
+const MAX_RETRIES: usize = 5;
+/// A refusal with a shorter delay than this comes from the write limit and not from an outage.
+const MAX_THROTTLE_WAIT: Duration = Duration::from_millis(250);
+/// Number of times that one write waits for the write limit.
+const MAX_THROTTLE_RETRIES: usize = 100;
+/// Retry delay sent to the caller after a lost answer.
+const LOST_ANSWER_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A job as its caller asks for it.
+/// A job as submitted by its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Submission {
-    /// The service that must answer its items.
+    /// The service that processes the items.
     pub service: Name,
-    /// Who asks.
+    /// The organisation that submits the job.
     pub organisation: Name,
-    /// The caller's identity of the job.
+    /// The caller's idempotency key.
     pub key: Name,
-    /// The items.
+    /// Items to process.
     pub items: Vec<Item>,
-    /// Due this long from now; zero means a day.
+    /// Time from now until the job is due; zero means a day.
     pub due: Duration,
-    /// True when each item must run at most once.
+    /// True if each item must run at most once.
     pub once: bool,
 }
 
-/// A job that is in the table.
+/// A job that is stored in the table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Accepted {
-    /// Its identity.
+    /// Identity of the job.
     pub job: Id,
-    /// Number of its items.
+    /// Number of items.
     pub items: u32,
-    /// True when its key was accepted before.
+    /// True if a job with its key was accepted before.
     pub resent: bool,
 }
 
-/// What callers can ask about jobs. Cheap to clone when `T` and `S` are.
+/// Operations that callers may call on jobs. Cheap to clone if `T` and `S` are.
 #[derive(Clone, Debug)]
 pub struct Jobs<T, S> {
     pub(super) table: T,
@@ -67,19 +67,17 @@
     T: Table,
     S: Store,
 {
-    /// Serves callers from that table and store.
+    /// Creates a service on that table and store.
     pub const fn new(table: T, store: S) -> Self {
         Self { table, store }
     }
 
-    /// Accepts a job. It is accepted when one transaction has registered it
-    /// under the caller's key; its items are in the store before that, so that
-    /// the loss of this node right afterwards loses nothing.
+    /// Accepts a job by one transaction that registers it under the caller's key. Its items are in
+    /// the store before that, so that losing this node right afterwards loses nothing.
     ///
-    /// Refused as not run, with when to come back, while the platform can't be
-    /// reached. When the answer to the registration was lost and can't be read
-    /// back either, it says that it may have been accepted; sending it again with
-    /// its key is safe.
+    /// While the platform cannot be reached, the answer is `NotRun` with a retry delay. If the
+    /// answer to the registration was lost and the row cannot be read back either, it is
+    /// `MayHaveRun`; submitting the job again with its key is safe.
     pub async fn submit(&self, now_unix_ms: u64, submission: Submission) -> Outcome<Accepted> {
         if let Err(refusal) = check(&submission) {
             return Outcome::NotRun(refusal);
@@ -87,12 +85,12 @@
         let job = job(now_unix_ms, &submission);
         let row = job.id().row();
         match self.table.get(&row).await {
-            Ok(Some(row)) => return compare(&job, &row.value, true),
+            Ok(Some(row)) => return match_existing(&job, &row.value, true),
             Ok(None) => {}
-            Err(fault) => return Outcome::NotRun(platform(&fault)),
+            Err(fault) => return Outcome::NotRun(platform_refusal(&fault)),
         }
         if let Err(fault) = self.upload(&job, &submission.items).await {
-            return Outcome::NotRun(platform(&fault));
+            return Outcome::NotRun(platform_refusal(&fault));
         }
         self.register(&job, &row).await
     }
@@ -101,20 +99,20 @@
         let id = job.id();
         for (chunk, items) in (0..).zip(items.chunks(job.chunk as usize)) {
             let name = id.items(&job.digest, chunk);
-            self.keep(&name, &record::encode(&items)).await?;
+            self.put_object(&name, &record::encode(&items)).await?;
         }
         Ok(())
     }
 
-    /// Stores an object; storing the same content twice is harmless.
-    async fn keep(&self, name: &str, value: &bytes::Bytes) -> Result<(), Fault> {
+    /// Stores an object. Storing the same content again is harmless.
+    async fn put_object(&self, name: &str, value: &bytes::Bytes) -> Result<(), Fault> {
         let mut lost = 0;
-        for _ in 0..MAX_THROTTLED {
+        for _ in 0..MAX_THROTTLE_RETRIES {
             match self.store.put(name, value.clone()).await {
-                Err(Fault::Unknown) if lost < TRIES => lost += 1,
-                // The write limit: a large job has more objects than fit into a
-                // second, and would never be accepted if each refusal ended it.
-                Err(Fault::Refused { retry_after }) if retry_after < THROTTLED => {
+                Err(Fault::Unknown) if lost < MAX_RETRIES => lost += 1,
+                // Write limit reached: a large job has more objects than can be written in a
+                // second, and could never be accepted if a refusal ended the submission.
+                Err(Fault::Refused { retry_after }) if retry_after < MAX_THROTTLE_WAIT => {
                     tokio::time::sleep(retry_after).await;
                 }
                 other => return other,
@@ -128,40 +126,40 @@
             .check(row, Expect::Absent)
             .put(row, record::encode(job));
         for lane in 0..job.lanes {
-            let span = job.span(lane);
+            let span = job.chunk_range(lane);
             let lane = (job.open_lane(lane), Lane::new(span.start, span.end));
             transaction = transaction.put(lane.0, record::encode(&lane.1));
         }
-        let mut doubts = 0;
-        for _ in 0..MAX_THROTTLED {
+        let mut lost_answers = 0;
+        for _ in 0..MAX_THROTTLE_RETRIES {
             match self.table.transact(transaction.clone()).await {
                 Ok(_) => return Outcome::Done(accepted(job, false)),
-                Err(Fault::Unknown) if doubts < TRIES => doubts += 1,
-                Err(Fault::Refused { retry_after }) if retry_after < THROTTLED => {
+                Err(Fault::Unknown) if lost_answers < MAX_RETRIES => lost_answers += 1,
+                Err(Fault::Refused { retry_after }) if retry_after < MAX_THROTTLE_WAIT => {
                     tokio::time::sleep(retry_after).await;
                 }
-                Err(Fault::Refused { retry_after }) if doubts == 0 => {
-                    return Outcome::NotRun(platform(&Fault::Refused { retry_after }));
+                Err(Fault::Refused { retry_after }) if lost_answers == 0 => {
+                    return Outcome::NotRun(platform_refusal(&Fault::Refused { retry_after }));
                 }
                 Err(Fault::Unknown | Fault::Refused { .. }) => break,
-                // The key is taken: by our own try whose answer was lost, by a
-                // resend to another node, or by another content.
+                // The key exists: written by an earlier attempt whose answer was lost, by a
+                // resubmission to another node, or by a job with different content.
                 Err(Fault::Conflict { .. }) => match self.table.get(row).await {
-                    Ok(Some(row)) => return compare(job, &row.value, doubts == 0),
-                    Ok(None) | Err(_) => doubts += 1,
+                    Ok(Some(row)) => return match_existing(job, &row.value, lost_answers == 0),
+                    Ok(None) | Err(_) => lost_answers += 1,
                 },
             }
         }
         let refusal = Refusal::new(Reason::Platform)
-            .after(LOST_ANSWER_WAIT)
-            .with_message("the platform's answer was lost; send the job again with the same key");
+            .after(LOST_ANSWER_RETRY_AFTER)
+            .because("the platform did not confirm the job; submit it again with the same key");
         Outcome::MayHaveRun(refusal)
     }
 }
 
-/// The refusal for a fault of the platform.
-pub(super) fn platform(fault: &Fault) -> Refusal {
-    Refusal::new(Reason::Platform).after(change::wait(fault))
+/// Refusal for a fault of the platform.
+pub(super) fn platform_refusal(fault: &Fault) -> Refusal {
+    Refusal::new(Reason::Platform).after(change::retry_after(fault))
 }
 
 fn check(submission: &Submission) -> Result<(), Refusal> {
@@ -172,34 +170,39 @@
     ];
     if let Some(name) = names.into_iter().find(|name| !name::is_valid(name)) {
         let message = format!(
-            "{name:?} can't be a name: use 1 to {} letters, digits, '-', '_', '.' or ':'",
+            "{name:?} is not a valid name; use 1 to {} letters, digits, '-', '_', '.' or ':'",
             name::MAX_LEN
         );
         return Err(Refusal::new(Reason::Invalid).with_message(message));
     }
     if submission.items.is_empty() {
-        return Err(Refusal::new(Reason::Invalid).with_message("a job needs at least one item"));
+        return Err(
+            Refusal::new(Reason::Invalid).because("the job has no items; submit at least one")
+        );
     }
     if submission.items.len() > MAX_ITEMS {
-        let message = format!("a job may have {MAX_ITEMS} items; split it");
-        return Err(Refusal::new(Reason::TooLarge).with_message(message));
+        let message =
+            format!("a job may have at most {MAX_ITEMS} items; split it into several jobs");
+        return Err(Refusal::new(Reason::TooLarge).because(message));
     }
     let long = |item: &Item| item.prompt.len() > MAX_PROMPT_BYTES;
     if let Some(number) = submission.items.iter().position(long) {
-        let message = format!("item {number} has a prompt above {MAX_PROMPT_BYTES} bytes");
-        return Err(Refusal::new(Reason::TooLarge).with_message(message));
+        let message = format!(
+            "the prompt of item {number} is longer than {MAX_PROMPT_BYTES} bytes; shorten it"
+        );
+        return Err(Refusal::new(Reason::TooLarge).because(message));
     }
-    distinct(&submission.items)
+    check_unique_keys(&submission.items)
 }
 
-fn distinct(items: &[Item]) -> Result<(), Refusal> {
+fn check_unique_keys(items: &[Item]) -> Result<(), Refusal> {
     let mut keys: Vec<&str> = items.iter().map(|item| &*item.key).collect();
     keys.retain(|key| !key.is_empty());
     keys.sort_unstable();
     match keys.windows(2).find(|pair| pair[0] == pair[1]) {
         Some(pair) => {
             let message = format!(
-                "two items have the key {:?}; keys name one item each",
+                "two items have the key {:?}; give each item a unique key",
                 pair[0]
             );
             Err(Refusal::new(Reason::Invalid).with_message(message))
@@ -212,7 +215,7 @@
     let items = u32::try_from(submission.items.len()).unwrap_or(u32::MAX);
     let chunk = record::chunk_len(items);
     let due = if submission.due.is_zero() {
-        DUE
+        DEFAULT_DUE
     } else {
         submission.due
     };
@@ -231,8 +234,8 @@
     }
 }
 
-/// Hash of what the caller wants done. The due time is left out, because a
-/// caller who sends a job again counts it from another moment.
+/// Hash of the job's content. The due time is left out, because a resubmission counts it from a
+/// later moment.
 fn digest(submission: &Submission) -> Name {
     let mut hash = Sha256::new();
     hash.update(submission.service.as_bytes());
@@ -247,15 +250,15 @@
     key::hex(&hash.finalize(), 32).into()
 }
 
-fn compare(wanted: &Job, bytes: &[u8], resent: bool) -> Outcome<Accepted> {
+fn match_existing(wanted: &Job, bytes: &[u8], resent: bool) -> Outcome<Accepted> {
     let Some(found) = record::decode::<Job>(bytes) else {
         return Outcome::NotRun(Refusal::new(Reason::Internal));
     };
     if found.digest == wanted.digest {
         return Outcome::Done(accepted(&found, resent));
     }
-    let message = "this key is taken by a job with other content; choose another key";
-    Outcome::NotRun(Refusal::new(Reason::Conflict).with_message(message))
+    let message = "this key belongs to a job with different content; choose another key";
+    Outcome::NotRun(Refusal::new(Reason::Conflict).because(message))
 }
 
 fn accepted(job: &Job, resent: bool) -> Accepted {
--- a/src/job/change.rs
+++ b/src/job/change.rs
@@ -1,106 +1,103 @@
-//! Changes a lane's row, and finds out what became of it when an answer is
-//! lost.
+//! Changes a lane's row, and resolves changes whose answer was lost.
 //!
-//! A lost answer is never guessed: the row is read back, and because every
-//! change can be told from the row, the change is either seen there or tried
-//! again under the version just read. An earlier try that is still on its way
-//! then fails on that version.
+//! After a lost answer the row is read again. Every change is recognisable in the row, so it is
+//! either found there or tried again under the version just read. An earlier attempt that is still
+//! in flight then fails on that version.
 
 use std::time::Duration;
 
 use super::key;
-use super::lane::{Lane, Step};
+use super::lane::{Decision, Lane};
 use super::record::{self, Job, State};
 use crate::table::{Check, Expect, Fault, Row, Table, Transaction};
 
-/// Times that a change is tried again at once, after a collision or a lost
-/// answer, before the caller is told to come back.
-const TRIES: usize = 12;
-/// When to come back after lost answers.
-const LOST_ANSWER_WAIT: Duration = Duration::from_millis(250);
+/// Immediate attempts after conflicts or lost answers, before the caller has to retry later.
+const MAX_ATTEMPTS: usize = 12;
+/// Retry delay after lost answers.
+const LOST_ANSWER_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// The job and lane to change, with the job's version as it was read.
+/// The job and lane to change, with the version of the job's row.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct Target {
     /// The job's row.
     pub job: Job,
-    /// Its version while it is active.
+    /// Version of the row, read while the job was active.
     pub version: u64,
-    /// Which of its lanes.
+    /// Index of the lane.
     pub lane: u32,
 }
 
-/// What became of a change.
+/// Result of a change, after lost answers were resolved.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Change {
-    /// It is in the row.
-    Settled,
-    /// It is not and never will be: another holder has the chunk.
-    Lost,
-    /// It is not and never will be: the job is no longer active.
-    Over,
-    /// Not known yet; ask again after this long.
-    Unsure(Duration),
+pub enum Resolution {
+    /// The change is in the row.
+    Applied,
+    /// The change can never take effect: another holder has the chunk.
+    Superseded,
+    /// The change can never take effect: the job is no longer active.
+    Inactive,
+    /// Not known yet; retry after this delay.
+    Unknown(Duration),
 }
 
-/// Applies `decide` to the lane's row until its answer is certain. `known` is
-/// the row as it was read last; `guard` must hold besides.
+/// Applies `decide` to the lane's row until the result is certain. `known` is the row as last read;
+/// `guard` is a further condition on the write.
 pub async fn apply<T, F>(
     table: &T,
-    place: &Place,
+    target: &Target,
     known: Option<Row>,
     guard: Option<&Check>,
     decide: F,
-) -> Change
+) -> Resolution
 where
     T: Table,
-    F: Fn(&Lane) -> Step,
+    F: Fn(&Lane) -> Decision,
 {
-    let open = place.job.open_lane(place.lane);
+    let open = target.job.open_lane(target.lane);
     let mut known = known;
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let row = match known.take() {
             Some(row) => row,
             None => match table.get(&open).await {
                 Ok(Some(row)) => row,
-                Ok(None) => return finished(table, place, decide).await,
-                Err(fault) => return unsure(&fault),
+                Ok(None) => return resolve_closed(table, target, decide).await,
+                Err(fault) => return unknown(&fault),
             },
         };
         let Some(lane) = record::decode::<Lane>(&row.value) else {
-            return Change::Lost;
+            return Resolution::Superseded;
         };
         let next = match decide(&lane) {
-            Step::Already => return Change::Settled,
-            Step::Lost => return Change::Lost,
-            Step::Write(next) => next,
+            Decision::Applied => return Resolution::Applied,
+            Decision::Superseded => return Resolution::Superseded,
+            Decision::Write(next) => next,
         };
-        let mut transaction = transaction(place, &open, row.version, &next);
+        let mut transaction = transaction(target, &open, row.version, &next);
         transaction.checks.extend(guard.cloned());
         match table.transact(transaction).await {
-            Ok(_) => return Change::Settled,
+            Ok(_) => return Resolution::Applied,
             Err(Fault::Conflict { key, .. }) if guard.is_some_and(|guard| guard.key == key) => {
-                return Change::Lost;
+                return Resolution::Superseded;
             }
-            // The cancellation that this conflict tells of may come after our
-            // own change whose answer was lost, so the lane is looked at once more.
-            Err(Fault::Conflict { key, .. }) if key == place.job.id().row() => {
-                return over(table, place, decide).await;
+            // The cancellation behind this conflict may have come after this change, whose answer
+            // was lost, so the lane is read once more.
+            Err(Fault::Conflict { key, .. }) if key == target.job.id().row() => {
+                return resolve_inactive(table, target, decide).await;
             }
             Err(Fault::Conflict { .. } | Fault::Unknown) => {}
-            Err(Fault::Refused { retry_after }) => return Change::Unsure(retry_after),
+            Err(Fault::Refused { retry_after }) => return Resolution::Unknown(retry_after),
         }
     }
-    Change::Unsure(LOST_ANSWER_WAIT)
+    Resolution::Unknown(LOST_ANSWER_RETRY_AFTER)
 }
 
-/// Moves a lane of a job that is no longer active out of the index, with what
-/// was committed, and returns whether it is out of it.
-pub async fn close<T>(table: &T, place: &Place) -> bool
+/// Moves a lane of a job that is no longer active out of the index, with its committed chunks.
+/// Returns whether it was moved.
+pub async fn close<T>(table: &T, target: &Target) -> bool
 where
     T: Table,
 {
-    let open = place.job.open_lane(place.lane);
+    let open = target.job.open_lane(target.lane);
     let Ok(Some(row)) = table.get(&open).await else {
         return false;
     };
@@ -113,88 +110,88 @@
     let transaction = Transaction::default()
         .check(&open, Expect::Version(row.version))
         .delete(&open)
-        .put(place.job.closed_lane(place.lane), record::encode(&lane));
+        .put(target.job.closed_lane(target.lane), record::encode(&lane));
     table.transact(transaction).await.is_ok()
 }
 
-fn transaction(place: &Place, open: &str, version: u64, next: &Lane) -> Transaction {
-    let job = place.job.id().row();
+fn transaction(target: &Target, open: &str, version: u64, next: &Lane) -> Transaction {
+    let job = target.job.id().row();
     let base = Transaction::default()
         .check(open, Expect::Version(version))
-        .check(&job, Expect::Version(place.version));
-    if !next.is_over() {
+        .check(&job, Expect::Version(target.version));
+    if !next.is_finished() {
         return base.put(open, record::encode(next));
     }
     let moved = base
         .delete(open)
-        .put(place.job.closed_lane(place.lane), record::encode(next));
-    if place.job.lanes > 1 {
+        .put(target.job.closed_lane(target.lane), record::encode(next));
+    if target.job.lanes > 1 {
         return moved;
     }
-    // A job of one lane ends in the same transaction, so that the many small
-    // jobs cost no further look at their rows.
+    // A job with one lane ends in the same transaction, which saves the many small jobs another
+    // read of their rows.
     let ended = Job {
         state: State::Ended,
-        ..place.job.clone()
+        ..target.job.clone()
     };
     moved.put(job, record::encode(&ended))
 }
 
-async fn finished<T, F>(table: &T, place: &Place, decide: F) -> Change
+async fn resolve_closed<T, F>(table: &T, target: &Target, decide: F) -> Resolution
 where
     T: Table,
-    F: Fn(&Lane) -> Step,
+    F: Fn(&Lane) -> Decision,
 {
-    match table.get(&place.job.closed_lane(place.lane)).await {
+    match table.get(&target.job.closed_lane(target.lane)).await {
         Ok(row) => match row.and_then(|row| record::decode::<Lane>(&row.value)) {
-            Some(lane) if decide(&lane) == Step::Already => Change::Settled,
-            _ => Change::Lost,
+            Some(lane) if decide(&lane) == Decision::Applied => Resolution::Applied,
+            _ => Resolution::Superseded,
         },
-        Err(fault) => unsure(&fault),
+        Err(fault) => unknown(&fault),
     }
 }
 
-async fn over<T, F>(table: &T, place: &Place, decide: F) -> Change
+async fn resolve_inactive<T, F>(table: &T, target: &Target, decide: F) -> Resolution
 where
     T: Table,
-    F: Fn(&Lane) -> Step,
+    F: Fn(&Lane) -> Decision,
 {
-    let open = place.job.open_lane(place.lane);
+    let open = target.job.open_lane(target.lane);
     match table.get(&open).await {
         Ok(Some(row)) => match record::decode::<Lane>(&row.value) {
-            Some(lane) if decide(&lane) == Step::Already => Change::Settled,
-            _ => Change::Over,
+            Some(lane) if decide(&lane) == Decision::Applied => Resolution::Applied,
+            _ => Resolution::Inactive,
         },
-        Ok(None) => match finished(table, place, decide).await {
-            Change::Lost => Change::Over,
+        Ok(None) => match resolve_closed(table, target, decide).await {
+            Resolution::Superseded => Resolution::Inactive,
             change => change,
         },
-        Err(fault) => unsure(&fault),
+        Err(fault) => unknown(&fault),
     }
 }
 
-fn unsure(fault: &Fault) -> Change {
-    Change::Unsure(wait(fault))
+fn unknown(fault: &Fault) -> Resolution {
+    Resolution::Unknown(retry_after(fault))
 }
 
-/// When to come back after a fault.
-pub fn wait(fault: &Fault) -> Duration {
+/// Delay after which to retry a call that failed with `fault`.
+pub fn retry_after(fault: &Fault) -> Duration {
     match fault {
         Fault::Refused { retry_after } => *retry_after,
-        Fault::Conflict { .. } | Fault::Unknown => LOST_ANSWER_WAIT,
+        Fault::Conflict { .. } | Fault::Unknown => LOST_ANSWER_RETRY_AFTER,
     }
 }
 
-/// Ends a job of several lanes when none is open any more, and returns its
-/// state as the row has it afterwards.
+/// Ends a job of several lanes if no lane is open any more, and returns the state in its row
+/// afterwards.
 ///
-/// Whoever commits a lane's last chunk calls this; when that node is lost
-/// before it does, whoever asks for the job's status does. There is no counter
-/// row that all holders would have to change.
+/// The holder that commits a lane's last chunk calls this. If it is lost before that, the next
+/// status request for the job does. This needs no counter row that every holder would have to
+/// change.
 ///
 /// # Errors
-/// [`Fault::Refused`] or [`Fault::Unknown`] when the table can't be asked now.
-pub async fn end<T>(table: &T, job: &Job, version: u64) -> Result<State, Fault>
+/// [`Fault::Refused`] or [`Fault::Unknown`] if the table cannot be reached.
+pub async fn end_if_complete<T>(table: &T, job: &Job, version: u64) -> Result<State, Fault>
 where
     T: Table,
 {
@@ -216,7 +213,7 @@
     match table.transact(transaction).await {
         Ok(_) => Ok(State::Ended),
         Err(Fault::Refused { retry_after }) => Err(Fault::Refused { retry_after }),
-        // Another ended or cancelled it, or our own answer was lost.
+        // Another node ended or cancelled it, or the answer to this change was lost.
         Err(Fault::Conflict { .. } | Fault::Unknown) => {
             let row = table.get(&row).await?;
             let job = row.and_then(|row| record::decode::<Job>(&row.value));
@@ -225,7 +222,7 @@
     }
 }
 
-/// Whose lease must be unchanged for a chunk to be taken over.
+/// Condition that the lease of `session` is unchanged, for a takeover.
 pub fn guard(session: &str, version: Option<u64>) -> Check {
     Check {
         key: key::session(session),
--- a/src/job/chunk.rs
+++ b/src/job/chunk.rs
@@ -1,9 +1,9 @@
-//! The items of one held chunk: which to send next, and what became of them.
+//! The items of a held chunk: which item to send next, and the state of each.
 //!
-//! Items that must run at most once are sent only after their mark is in the
-//! lane's row. Items that were in flight when an endpoint failed are sent alone
-//! from then on, each time only after the attempt is in the log, so that an item
-//! which kills whatever runs it is found, bounded, and harms no neighbour twice.
+//! Items that must run at most once are sent only after their mark is in the lane's row. Items that
+//! were in flight when an endpoint failed are isolated: from then on they are sent alone, each time
+//! after the attempt was written to the log. An item that crashes whatever runs it is thereby
+//! identified, its attempts are bounded, and other items suffer from it only once.
 
 use std::collections::BTreeMap;
 
@@ -17,24 +17,24 @@
 use crate::request::Answer;
 
 mod answer;
-mod inherit;
+mod replay;
 
-/// Losses of holders after which every open item of a chunk runs alone,
-/// because one of them may be what takes the VMs down.
-const SUSPICIOUS_LOSSES: u32 = 2;
-/// Where an item is.
+/// Number of lost holders after which every open item of a chunk is isolated, because one of them
+/// may crash VMs.
+const ISOLATION_LOSSES: u32 = 2;
+/// State of an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// It may be sent from this time on.
+    /// May be sent from this time on.
     Waiting(Time),
-    /// Its next attempt alone is being written to the log.
+    /// Its next isolated attempt is being written to the log.
     Recording,
-    /// Its next attempt alone is in the log.
+    /// Its next isolated attempt is in the log.
     Recorded,
-    /// It is at an endpoint.
+    /// At an endpoint.
     Running,
-    /// It has its result.
-    Over,
+    /// Has its result.
+    Finished,
 }
 
 #[derive(Clone, Debug)]
@@ -42,12 +42,12 @@
     item: Item,
     phase: Phase,
     sent: u32,
-    alone: bool,
-    tries: u32,
+    isolated: bool,
+    isolated_attempts: u32,
     marked: bool,
 }
 
-/// What a flush must write.
+/// Data for the next flush.
 #[derive(Clone, Debug, Default)]
 struct Unwritten {
     replies: Vec<u32>,
@@ -59,75 +59,82 @@
 pub struct Chunk {
     number: u32,
     first: u32,
-    once: bool,
-    bound: u32,
+    at_most_once: bool,
+    max_attempts: u32,
     slots: Vec<Slot>,
     replies: BTreeMap<u32, Reply>,
     unwritten: Unwritten,
-    settled: Vec<u32>,
+    logged: Vec<u32>,
     running: usize,
 }
 
 impl Chunk {
-    /// A chunk with what its earlier holders left in their logs.
-    pub fn new<I>(held: &Held, first: u32, items: I, once: bool, bound: u32, left: &[Entry]) -> Self
+    /// Creates a chunk from the entries that earlier holders left in their logs.
+    pub fn new<I>(
+        held: &Held,
+        first: u32,
+        items: I,
+        at_most_once: bool,
+        max_attempts: u32,
+        left: &[Entry],
+    ) -> Self
     where
         I: IntoIterator<Item = Item>,
     {
-        let alone = held.losses >= SUSPICIOUS_LOSSES;
+        let isolated = held.losses >= ISOLATION_LOSSES;
         let slots = items.into_iter().map(|item| Slot {
             item,
             phase: Phase::Waiting(Time::ZERO),
             sent: 0,
-            alone,
-            tries: 0,
+            isolated,
+            isolated_attempts: 0,
             marked: false,
         });
         let mut chunk = Self {
             number: held.chunk,
             first,
-            once,
-            bound,
+            at_most_once,
+            max_attempts,
             slots: slots.collect(),
             replies: BTreeMap::new(),
             unwritten: Unwritten::default(),
-            settled: Vec::new(),
+            logged: Vec::new(),
             running: 0,
         };
         for entry in left {
-            chunk.inherit(entry);
+            chunk.replay(entry);
         }
-        chunk.doubt(&held.marked);
-        chunk.give_up();
+        chunk.fail_marked(&held.marked);
+        chunk.fail_exhausted();
         chunk
     }
 
-    /// Whether items must run at most once.
-    pub const fn is_once(&self) -> bool {
-        self.once
+    /// Returns true if items must run at most once.
+    pub const fn is_at_most_once(&self) -> bool {
+        self.at_most_once
     }
 
-    /// True when every item has its result.
-    pub fn is_over(&self) -> bool {
+    /// Returns true if every item has its result.
+    pub fn is_finished(&self) -> bool {
         self.replies.len() == self.slots.len()
     }
 
-    /// Items at endpoints.
+    /// Number of items at endpoints.
     pub const fn running(&self) -> usize {
         self.running
     }
 
-    /// Items that have no result and are not at an endpoint.
+    /// Number of items that have no result and are not at an endpoint.
     pub fn waiting(&self) -> usize {
         self.slots.len() - self.replies.len() - self.running
     }
 
-    /// The item to send next among others, if there is one.
+    /// Returns the next item to send that need not be isolated.
     pub fn next(&self, now: Time) -> Option<u32> {
         let ready = |slot: &Slot| {
             matches!(slot.phase, Phase::Waiting(from) if from <= now)
-                && !slot.alone
-                && (slot.marked || !self.once)
+                && !slot.isolated
+                && (slot.marked || !self.at_most_once)
         };
         self.slots
             .iter()
@@ -135,24 +142,25 @@
             .map(|at| self.number_of(at))
     }
 
-    /// The item whose attempt alone is recorded, so that it can be sent as soon
-    /// as nothing else runs.
-    pub fn next_alone(&self) -> Option<u32> {
-        let ready = |slot: &Slot| slot.phase == Phase::Recorded && (slot.marked || !self.once);
+    /// Returns an item whose isolated attempt is in the log, so that it can be sent as soon as
+    /// nothing else runs.
+    pub fn next_isolated(&self) -> Option<u32> {
+        let ready =
+            |slot: &Slot| slot.phase == Phase::Recorded && (slot.marked || !self.at_most_once);
         self.slots
             .iter()
             .position(ready)
             .map(|at| self.number_of(at))
     }
 
-    /// Chooses the next item to be sent alone, once all others are done, and
-    /// notes the attempt for the log.
-    pub fn record_alone(&mut self, now: Time) {
+    /// Chooses the next item to isolate, once all others are finished, and adds the attempt to the
+    /// next segment.
+    pub fn start_isolation(&mut self, now: Time) {
         let busy = |slot: &Slot| {
             matches!(
                 slot.phase,
                 Phase::Recording | Phase::Recorded | Phase::Running
-            ) || (!slot.alone && slot.phase != Phase::Over)
+            ) || (!slot.isolated && slot.phase != Phase::Finished)
         };
         if self.slots.iter().any(busy) {
             return;
@@ -164,60 +172,61 @@
         let number = self.number_of(at);
         let slot = &mut self.slots[at];
         slot.phase = Phase::Recording;
-        slot.tries += 1;
-        let count = slot.tries;
+        slot.isolated_attempts += 1;
+        let count = slot.isolated_attempts;
         self.unwritten.attempts.push(Attempt { number, count });
     }
 
-    /// Up to `limit` items whose marks are needed before they can be sent.
+    /// Returns up to `limit` items that need a mark before they can be sent.
     pub fn unmarked(&self, limit: usize) -> Vec<u32> {
-        if !self.once {
+        if !self.at_most_once {
             return Vec::new();
         }
-        let mut numbers = self.numbers(|slot| slot.phase != Phase::Over && !slot.marked);
+        let mut numbers = self.numbers(|slot| slot.phase != Phase::Finished && !slot.marked);
         numbers.truncate(limit);
         numbers
     }
 
-    /// Items that are marked and wait to be sent.
+    /// Number of items that are marked and wait to be sent.
     pub fn marked_waiting(&self) -> usize {
         let waiting = |slot: &&Slot| slot.marked && matches!(slot.phase, Phase::Waiting(_));
         self.slots.iter().filter(waiting).count()
     }
 
-    /// Items whose results are in the log, so that their marks are not needed
-    /// any more.
-    pub fn settled(&self) -> &[u32] {
-        &self.settled
+    /// Items whose results are in the log, so that their marks are no longer needed.
+    pub fn logged(&self) -> &[u32] {
+        &self.logged
     }
 
-    /// True while an item runs that must run alone.
-    pub fn is_running_alone(&self) -> bool {
-        let alone = |slot: &Slot| slot.alone && slot.phase == Phase::Running && slot.tries > 0;
-        self.slots.iter().any(alone)
+    /// Returns true while an isolated item runs.
+    pub fn is_running_isolated(&self) -> bool {
+        let isolated = |slot: &Slot| {
+            slot.isolated && slot.phase == Phase::Running && slot.isolated_attempts > 0
+        };
+        self.slots.iter().any(isolated)
     }
 
-    /// What runs is broken off: what must run at most once may have run, the
-    /// rest is as if it had not been sent.
+    /// Aborts all running items. Items that must run at most once may have run; the others count as
+    /// not sent.
     pub fn interrupt(&mut self, now: Time) {
         for number in self.numbers(|slot| slot.phase == Phase::Running) {
             self.running -= 1;
-            if self.once {
+            if self.at_most_once {
                 let text = "broken off when its node stopped; it may have run".to_owned();
                 self.reply(number, End::MayHaveRun, text, 0);
             } else {
-                self.unsend(number, now);
+                self.requeue(number, now);
             }
         }
     }
 
-    /// Marked items that were not sent, for a release.
+    /// Marked items that were not sent, whose marks a release removes.
     pub fn unsent(&self) -> Vec<u32> {
-        let unsent = |slot: &Slot| slot.marked && slot.sent == 0 && slot.phase != Phase::Over;
+        let unsent = |slot: &Slot| slot.marked && slot.sent == 0 && slot.phase != Phase::Finished;
         self.numbers(unsent)
     }
 
-    /// The marks of these items are in the lane's row.
+    /// Records that the marks of these items are in the lane's row.
     pub fn marked(&mut self, numbers: &[u32]) {
         for number in numbers {
             if let Some(slot) = self.slot(*number) {
@@ -226,10 +235,13 @@
         }
     }
 
-    /// Sends an item: returns what to send, and counts it as running.
+    /// Marks an item as running and returns its content.
     pub fn start(&mut self, number: u32) -> Option<Item> {
         let slot = self.slot(number)?;
-        if matches!(slot.phase, Phase::Running | Phase::Over | Phase::Recording) {
+        if matches!(
+            slot.phase,
+            Phase::Running | Phase::Finished | Phase::Recording
+        ) {
             return None;
         }
         slot.phase = Phase::Running;
@@ -239,7 +251,7 @@
         Some(item)
     }
 
-    /// An item came back from its endpoint.
+    /// Records the outcome of an item from its endpoint.
     pub fn ended(&mut self, now: Time, number: u32, outcome: Outcome<Answer>) {
         let Some(slot) = self.slot(number) else {
             return;
@@ -251,11 +263,11 @@
         match outcome {
             Outcome::Done(answer) => self.done(number, answer),
             Outcome::NotRun(refusal) => self.not_run(now, number, &refusal),
-            Outcome::MayHaveRun(refusal) => self.doubtful(now, number, &refusal),
+            Outcome::MayHaveRun(refusal) => self.may_have_run(now, number, &refusal),
         }
     }
 
-    /// What has to go into the next segment, if anything.
+    /// Takes the data for the next segment, if there is any.
     pub fn take_unwritten(&mut self, job: &Name) -> Option<Entry> {
         let unwritten = std::mem::take(&mut self.unwritten);
         if unwritten.replies.is_empty() && unwritten.attempts.is_empty() {
@@ -270,21 +282,21 @@
         })
     }
 
-    /// A segment with these attempts and results is in the store.
+    /// Records that a segment with these attempts and results is in the store.
     pub fn written(&mut self, attempts: &[Attempt], replies: &[u32]) {
-        self.settled.extend(replies);
+        self.logged.extend(replies);
         for attempt in attempts {
             if let Some(slot) = self.slot(attempt.number)
                 && slot.phase == Phase::Recording
-                && slot.tries == attempt.count
+                && slot.isolated_attempts == attempt.count
             {
                 slot.phase = Phase::Recorded;
             }
         }
     }
 
-    /// True when an item waits for its attempt to be written, so that the flush
-    /// should not wait for its period.
+    /// Returns true if an item waits for its attempt to be written, so that the flush should not
+    /// wait for its interval.
     pub fn is_recording(&self) -> bool {
         self.unwritten
             .attempts
@@ -292,12 +304,12 @@
             .any(|attempt| attempt.count > 0)
     }
 
-    /// The results, in item order, once [`Chunk::is_over`].
+    /// The results in item order, once [`Chunk::is_finished`].
     pub fn replies(&self) -> Vec<Reply> {
         self.replies.values().cloned().collect()
     }
 
-    /// What to commit under `epoch`.
+    /// The record to commit under `epoch`.
     pub fn committed(&self, epoch: u32) -> Committed {
         let mut counts = Counts::default();
         for reply in self.replies.values() {
@@ -314,7 +326,7 @@
         }
     }
 
-    /// Bytes of prompts and results, for the bound on what a node holds.
+    /// Bytes of prompts and results in memory.
     pub fn size(&self) -> usize {
         let prompts = self.slots.iter().map(|slot| slot.item.prompt.len());
         let texts = self.replies.values().map(|reply| reply.text.len());
@@ -325,14 +337,14 @@
         let Some(slot) = self.slot(number) else {
             return;
         };
-        slot.phase = Phase::Over;
+        slot.phase = Phase::Finished;
         let reply = Reply {
             number,
             key: slot.item.key.clone(),
             end,
             text,
             tokens,
-            attempts: slot.sent.max(slot.tries),
+            attempts: slot.sent.max(slot.isolated_attempts),
         };
         self.replies.insert(number, reply);
         self.unwritten.replies.push(number);
--- a/src/job/chunk/answer.rs
+++ b/src/job/chunk/answer.rs
@@ -1,4 +1,4 @@
-//! What becomes of an item that came back from its endpoint.
+//! Handles the outcome of an item from its endpoint.
 
 use std::time::Duration;
 
@@ -9,11 +9,11 @@
 use crate::outcome::{Reason, Refusal};
 use crate::request::Answer;
 
-/// Shortest and longest wait before an item is sent again.
-const MIN_WAIT: Duration = Duration::from_millis(50);
-const MAX_WAIT: Duration = Duration::from_secs(30);
-/// Wait when a refusal names none, and after an item failed alone.
-const RETRY_WAIT: Duration = Duration::from_millis(500);
+/// Shortest and longest delay before an item is sent again.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(30);
+/// Delay if a refusal gives none, and after an isolated item failed.
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 impl Chunk {
     pub(super) fn done(&mut self, number: u32, answer: Answer) {
@@ -31,41 +31,42 @@
             self.reply(number, End::Failed, refusal.to_string(), 0);
             return;
         }
-        let wait = refusal.retry_after.unwrap_or(RETRY_WAIT);
-        self.unsend(number, now + wait.clamp(MIN_WAIT, MAX_WAIT));
+        let wait = refusal.retry_after.unwrap_or(DEFAULT_RETRY_DELAY);
+        self.requeue(number, now + wait.clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY));
     }
 
-    /// An attempt that does not count. When it was recorded, the log is told.
-    pub(super) fn unsend(&mut self, number: u32, from: Time) {
+    /// Queues an item whose attempt does not count. If the attempt was logged, the log is
+    /// corrected.
+    pub(super) fn requeue(&mut self, number: u32, from: Time) {
         let Some(slot) = self.slot(number) else {
             return;
         };
         slot.sent -= 1;
         slot.phase = Phase::Waiting(from);
-        if slot.alone {
-            slot.tries = slot.tries.saturating_sub(1);
-            let count = slot.tries;
+        if slot.isolated {
+            slot.isolated_attempts = slot.isolated_attempts.saturating_sub(1);
+            let count = slot.isolated_attempts;
             self.unwritten.attempts.push(Attempt { number, count });
         }
     }
 
-    pub(super) fn doubtful(&mut self, now: Time, number: u32, refusal: &Refusal) {
-        if self.once {
+    pub(super) fn may_have_run(&mut self, now: Time, number: u32, refusal: &Refusal) {
+        if self.at_most_once {
             self.reply(number, End::MayHaveRun, refusal.to_string(), 0);
             return;
         }
-        let bound = self.bound;
+        let max_attempts = self.max_attempts;
         let Some(slot) = self.slot(number) else {
             return;
         };
-        if slot.alone && slot.tries >= bound {
-            let text = format!("failed {bound} times on its own; last: {refusal}");
+        if slot.isolated && slot.isolated_attempts >= max_attempts {
+            let text = format!("failed {max_attempts} times on its own; last: {refusal}");
             self.reply(number, End::Failed, text, 0);
             return;
         }
-        slot.alone = true;
-        slot.phase = Phase::Waiting(now + RETRY_WAIT);
-        let count = slot.tries;
+        slot.isolated = true;
+        slot.phase = Phase::Waiting(now + DEFAULT_RETRY_DELAY);
+        let count = slot.isolated_attempts;
         self.unwritten.attempts.push(Attempt { number, count });
     }
 }
--- a/src/job/index.rs
+++ b/src/job/index.rs
@@ -1,9 +1,9 @@
-//! What one node knows of the index of open lanes of a service.
+//! One node's copy of the index of open lanes of a service.
 //!
-//! Rows sort by organisation and due time. A page is read from each
-//! organisation's earliest due time on and then skips to the next one, so that
-//! the cost of looking for work does not grow with the number of open jobs, and
-//! an organisation with very many can't hide the others.
+//! Rows sort by organisation and due time. Reading starts at an organisation's earliest due time
+//! and skips to the next organisation once enough free lanes were found. So the cost of looking for
+//! work does not grow with the number of open jobs, and an organisation with very many jobs cannot
+//! hide the others.
 
 use std::collections::BTreeMap;
 
@@ -14,18 +14,18 @@
 use crate::table::{Page, Row};
 
 /// Rows of one page, which costs one read.
-pub const PAGE: usize = 100;
-/// Free lanes of one organisation that are enough to know.
-const ENOUGH: usize = 24;
+pub const PAGE_ROWS: usize = 100;
+/// Free lanes of one organisation after which the scan skips to the next one.
+const MAX_FREE_PER_ORGANISATION: usize = 24;
 
-/// An unfinished lane as it was read.
+/// An unfinished lane as last read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Open {
-    /// Its job.
+    /// Identity of its job.
     pub id: Id,
-    /// When the job is due.
+    /// Due time of the job.
     pub due_at_ms: u64,
-    /// Which lane of the job.
+    /// Index of the lane in the job.
     pub number: u32,
     /// The row's content.
     pub lane: Lane,
@@ -34,7 +34,7 @@
 }
 
 impl Open {
-    /// Reads a row of the index; nothing when it is none.
+    /// Parses a row of the index; returns `None` if it is not one.
     pub fn parse(row: Row) -> Option<Self> {
         let mut parts = row.key.split('/').skip(2);
         let organisation = Name::from(parts.next()?);
@@ -53,7 +53,7 @@
     }
 }
 
-/// The lanes that were seen lately, and where to read on.
+/// Lanes seen recently, and the position of the scan.
 #[derive(Clone, Debug)]
 pub struct Index {
     service: Name,
@@ -63,7 +63,7 @@
 }
 
 impl Index {
-    /// Knows nothing yet.
+    /// Creates an empty index.
     pub const fn new(service: Name) -> Self {
         Self {
             service,
@@ -73,13 +73,13 @@
         }
     }
 
-    /// The key after which to read the next page.
+    /// Key after which to read the next page.
     pub fn cursor(&self) -> &str {
         &self.cursor
     }
 
-    /// Takes the page that was read after [`Index::cursor`].
-    pub fn take(&mut self, page: Page) {
+    /// Adds the page that was read after [`Index::cursor`].
+    pub fn add_page(&mut self, page: Page) {
         let last = page.rows.last().map(|row| row.key.clone());
         let mut free = 0;
         let mut organisation = Name::from("");
@@ -89,43 +89,43 @@
                 free = 0;
             }
             free += usize::from(open.lane.is_free());
-            // More free lanes of one organisation than can be claimed before the
-            // next look would only take memory; held ones may need taking over.
-            if free <= ENOUGH || !open.lane.held.is_empty() {
+            // More free lanes than can be claimed before the next read would only use memory. Held
+            // lanes are kept, because they may have to be taken over.
+            if free <= MAX_FREE_PER_ORGANISATION || !open.lane.held.is_empty() {
                 self.lanes.insert(open.row.key.clone(), (self.round, open));
             }
         }
         match last {
             Some(last) if page.more => {
-                self.cursor = if free >= ENOUGH {
-                    key::after(&self.service, &organisation)
+                self.cursor = if free >= MAX_FREE_PER_ORGANISATION {
+                    key::after_organisation(&self.service, &organisation)
                 } else {
                     last
                 };
             }
-            _ => self.wrap(),
+            _ => self.finish_round(),
         }
     }
 
-    /// The lanes of which a chunk can be claimed.
+    /// Lanes with a chunk that can be claimed.
     pub fn free(&self) -> impl Iterator<Item = &Open> {
         let lanes = self.lanes.values().map(|(_, open)| open);
         lanes.filter(|open| open.lane.is_free())
     }
 
-    /// The chunks that somebody runs.
+    /// Chunks that have a holder.
     pub fn held(&self) -> impl Iterator<Item = (&Open, &Held)> {
         let lanes = self.lanes.values().map(|(_, open)| open);
         lanes.flat_map(|open| open.lane.held.iter().map(move |held| (open, held)))
     }
 
-    /// Forgets a lane whose row has changed since.
-    pub fn forget(&mut self, key: &str) {
+    /// Removes a lane whose row has changed since it was read.
+    pub fn remove(&mut self, key: &str) {
         self.lanes.remove(key);
     }
 
-    /// A round is complete: lanes that were not met in it are finished.
-    fn wrap(&mut self) {
+    /// Ends a scan of the whole index: lanes that it did not find are finished.
+    fn finish_round(&mut self) {
         let round = self.round;
         self.lanes.retain(|_, (seen, _)| *seen == round);
         self.round += 1;
--- a/src/job/key.rs
+++ b/src/job/key.rs
@@ -1,4 +1,4 @@
-//! Names of the rows and objects of jobs.
+//! Keys of the rows and names of the objects of jobs.
 
 use std::fmt;
 
@@ -8,29 +8,28 @@
 
 /// Hexadecimal digits of a job's hash.
 const HASH_LEN: usize = 24;
-/// Sorts after every character that a name may have.
+/// Sorts after every character that is valid in a name.
 const LAST: char = '~';
 
-/// Prefix of the rows that hold unfinished lanes, by service, organisation and
-/// due time.
+/// Prefix of the rows of unfinished lanes, followed by service, organisation and due time.
 pub const OPEN: &str = "open/";
-/// Prefix of the rows that hold finished lanes.
+/// Prefix of the rows of finished lanes.
 pub const CLOSED: &str = "lane/";
 
 /// Identity of a job, derived from the organisation and the caller's key.
 ///
-/// Because it is derived and not drawn, a resend to any node meets the same
-/// row, and the table decides which of two concurrent ones is first.
+/// Because it is derived and not random, a resubmission to any node finds the same row, and the
+/// table orders concurrent submissions.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Id {
-    /// Whose job it is.
+    /// The organisation that owns the job.
     pub organisation: Name,
     /// Hash of the organisation and the caller's key.
     pub hash: Name,
 }
 
 impl Id {
-    /// The identity of the job that `organisation` calls `key`.
+    /// Returns the identity of the job that `organisation` submitted under `key`.
     pub fn of(organisation: &Name, key: &str) -> Self {
         let digest = Sha256::new()
             .chain_update(organisation.as_bytes())
@@ -43,7 +42,7 @@
         }
     }
 
-    /// Reads an identity as [`fmt::Display`] writes it.
+    /// Parses an identity as written by [`fmt::Display`].
     pub fn parse(text: &str) -> Option<Self> {
         let (organisation, hash) = text.rsplit_once('.')?;
         let valid = name::is_valid(organisation)
@@ -61,19 +60,18 @@
     }
 
     /// Prefix of the rows of its finished lanes.
-    pub fn closed(&self) -> String {
+    pub fn closed_prefix(&self) -> String {
         format!("{CLOSED}{}/", self.hash)
     }
 
-    /// Name of the object with the items of one chunk. The digest keeps
-    /// submissions of other content under the same key from replacing it.
+    /// Name of the object with the items of one chunk. The digest prevents a submission of
+    /// different content under the same key from replacing it.
     pub fn items(&self, digest: &str, chunk: u32) -> String {
         format!("items/{}/{digest}/{chunk}", self.hash)
     }
 
-    /// Name of the object with the results of one chunk as the holder of that
-    /// epoch has them. No two holders share an epoch, so that none can replace
-    /// the other's object.
+    /// Name of the object with the results of one chunk, as written by the holder with that epoch.
+    /// Epochs are unique, so no holder can replace the object of another.
     pub fn replies(&self, chunk: u32, epoch: u32) -> String {
         format!("replies/{}/{chunk}/{epoch}", self.hash)
     }
@@ -85,8 +83,8 @@
     }
 }
 
-/// Where the rows of a job's unfinished lanes are.
-pub fn open(service: &str, due_at_ms: u64, id: &Id) -> String {
+/// Prefix of the rows of a job's unfinished lanes.
+pub fn open_prefix(service: &str, due_at_ms: u64, id: &Id) -> String {
     format!(
         "{OPEN}{service}/{}/{due_at_ms:014}/{}/",
         id.organisation, id.hash
@@ -94,21 +92,21 @@
 }
 
 /// Prefix of the unfinished lanes of a service.
-pub fn service(service: &str) -> String {
+pub fn service_prefix(service: &str) -> String {
     format!("{OPEN}{service}/")
 }
 
-/// A place in the index after every lane of the organisation.
-pub fn after(service: &str, organisation: &str) -> String {
+/// Key that sorts after every lane of the organisation in the index.
+pub fn after_organisation(service: &str, organisation: &str) -> String {
     format!("{OPEN}{service}/{organisation}/{LAST}")
 }
 
-/// The last part of a lane's key.
-pub fn lane(number: u32) -> String {
+/// Last part of a lane's key.
+pub fn lane_suffix(number: u32) -> String {
     format!("{number:03}")
 }
 
-/// Key of a holder's lease.
+/// Key of the row of a holder's lease.
 pub fn session(session: &str) -> String {
     format!("session/{session}")
 }
@@ -118,7 +116,7 @@
     format!("log/{session}/{sequence}")
 }
 
-/// The first `len` hexadecimal digits of `bytes`.
+/// Returns the first `len` hexadecimal digits of `bytes`.
 pub fn hex(bytes: &[u8], len: usize) -> String {
     let mut text = String::with_capacity(bytes.len() * 2);
     for byte in bytes {
--- a/src/job/lane.rs
+++ b/src/job/lane.rs
@@ -1,55 +1,53 @@
-//! A lane: a run of neighbouring chunks of one job, in one row.
+//! A lane: a range of consecutive chunks of one job, stored in one row.
 //!
-//! Every change of a chunk is a change of its lane's row under the version that
-//! was read, so that of two holders who both believe in themselves one finds
-//! the row changed. Each change can be told from the row afterwards, which is
-//! how a lost answer is resolved.
+//! Every change of a chunk is conditional on the version of its lane's row, so that of two holders
+//! which both consider themselves the owner, one finds the row changed. Each change is recognisable
+//! in the row afterwards, which resolves lost answers.
 
 use serde::{Deserialize, Serialize};
 
 use super::record::Counts;
 use crate::name::Name;
 
-/// A stretch of a holder's log that may have results of a chunk.
+/// A range of a holder's log that may contain results of a chunk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Trail {
-    /// Whose log.
+pub struct LogRange {
+    /// Session of the holder that wrote the log.
     pub session: Name,
     /// Its first segment.
     pub from: u64,
-    /// The segment after its last one; none after a loss, when the log is read
-    /// to its end.
+    /// The segment after its last one; `None` after a loss, when the log is read to its end.
     pub until: Option<u64>,
 }
 
-/// A chunk that somebody runs.
+/// A chunk that a holder runs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Held {
-    /// Which chunk of the job.
+    /// Index of the chunk in the job.
     pub chunk: u32,
-    /// Unique in the lane; a holder with an older one is refused.
+    /// Unique in the lane; a holder with an older epoch is refused.
     pub epoch: u32,
-    /// The holder's session.
+    /// Session of the holder.
     pub session: Name,
-    /// The first segment of its log that may have results of the chunk.
+    /// The first segment of the holder's log that may contain results of the chunk.
     pub from: u64,
-    /// Holders that were lost before this one.
+    /// Number of holders lost before this one.
     pub losses: u32,
-    /// Logs of the holders before this one.
-    pub trails: Vec<Trail>,
+    /// Logs of the earlier holders.
+    pub trails: Vec<LogRange>,
     /// Items that must run at most once and may have been sent.
     pub marked: Vec<u32>,
 }
 
-/// A chunk that a stopping holder gave back.
+/// A chunk that a stopping holder released.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Freed {
-    /// Which chunk of the job.
+    /// Index of the chunk in the job.
     pub chunk: u32,
-    /// Holders that were lost.
+    /// Number of holders lost so far.
     pub losses: u32,
-    /// Logs of the holders so far.
-    pub trails: Vec<Trail>,
+    /// Logs of the earlier holders.
+    pub trails: Vec<LogRange>,
     /// Items that must run at most once and may have been sent.
     pub marked: Vec<u32>,
 }
@@ -57,9 +55,9 @@
 /// A chunk whose results are committed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Committed {
-    /// Which chunk of the job.
+    /// Index of the chunk in the job.
     pub chunk: u32,
-    /// The epoch that names its results.
+    /// Epoch in the name of the object with its results.
     pub epoch: u32,
     /// How its items ended.
     pub counts: Counts,
@@ -68,33 +66,33 @@
 /// A lane's row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lane {
-    /// The first chunk that nobody has claimed yet.
+    /// The first chunk that was never claimed.
     pub next: u32,
     /// The chunk after the last one.
     pub end: u32,
-    /// The epoch given last.
+    /// The last epoch assigned.
     pub epoch: u32,
-    /// Chunks that were given back.
+    /// Chunks that were released.
     pub freed: Vec<Freed>,
-    /// Chunks that somebody runs.
+    /// Chunks that a holder runs.
     pub held: Vec<Held>,
-    /// Chunks that are committed.
+    /// Chunks whose results are committed.
     pub committed: Vec<Committed>,
 }
 
-/// What a wanted change comes to, given the row as it is.
+/// Effect of an intended change on the current row.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
-    /// Write this.
+pub enum Decision {
+    /// The row has to be replaced by this one.
     Write(Lane),
-    /// It has taken effect already; its answer was lost.
-    Already,
-    /// It can't take effect any more.
-    Lost,
+    /// The change is in the row already; its answer was lost.
+    Applied,
+    /// The change can never take effect, because the chunk has another holder.
+    Superseded,
 }
 
 impl Lane {
-    /// A lane of which nothing is claimed.
+    /// Creates a lane without claims.
     pub const fn new(next: u32, end: u32) -> Self {
         Self {
             next,
@@ -106,29 +104,29 @@
         }
     }
 
-    /// True when a chunk can be claimed.
+    /// Returns true if a chunk can be claimed.
     pub fn is_free(&self) -> bool {
         self.next < self.end || !self.freed.is_empty()
     }
 
-    /// True when every chunk is committed.
-    pub fn is_over(&self) -> bool {
+    /// Returns true if every chunk is committed.
+    pub fn is_finished(&self) -> bool {
         !self.is_free() && self.held.is_empty()
     }
 
-    /// The sum over its committed chunks.
+    /// Sum of the counts of its committed chunks.
     pub fn counts(&self) -> Counts {
         self.committed
             .iter()
             .fold(Counts::default(), |sum, chunk| sum.plus(chunk.counts))
     }
 
-    /// The holding of that epoch, while nobody else has taken it.
-    pub fn holding(&self, epoch: u32) -> Option<&Held> {
+    /// Returns the held chunk with that epoch, unless another holder has taken it over.
+    pub fn find_held(&self, epoch: u32) -> Option<&Held> {
         self.held.iter().find(|held| held.epoch == epoch)
     }
 
-    /// Claims a chunk that was given back, or else the next one.
+    /// Claims a released chunk, or else the next unclaimed one.
     pub fn claim(&self, session: &Name, from: u64) -> Option<(Self, Held)> {
         let mut lane = self.clone();
         let freed = if lane.freed.is_empty() {
@@ -149,37 +147,36 @@
         Some((lane, held))
     }
 
-    /// Takes a chunk from a holder that is taken for lost.
+    /// Takes over a chunk from a holder that is presumed lost.
     pub fn take_over(&self, epoch: u32, session: &Name, from: u64) -> Option<(Self, Held)> {
         let mut lane = self.clone();
         let at = lane.held.iter().position(|held| held.epoch == epoch)?;
         let lost = lane.held.remove(at);
-        let mut freed = free(lost, None);
+        let mut freed = to_freed(lost, None);
         freed.losses += 1;
         let held = lane.hold(freed, session, from);
         Some((lane, held))
     }
 
-    /// Takes up a chunk that this very session holds without knowing it, because
-    /// the answer to its claim was lost. The new epoch keeps the claim from being
-    /// taken up twice.
+    /// Resumes a chunk that this session holds by a claim whose answer was lost. The new epoch
+    /// prevents resuming the claim twice.
     pub fn resume(&self, epoch: u32, session: &Name, from: u64) -> Option<(Self, Held)> {
         let mut lane = self.clone();
         let at = lane.held.iter().position(|held| held.epoch == epoch)?;
-        let freed = free(lane.held.remove(at), Some(from));
+        let freed = to_freed(lane.held.remove(at), Some(from));
         let held = lane.hold(freed, session, from);
         Some((lane, held))
     }
 
-    /// Records that items which must run at most once are about to be sent,
-    /// and forgets those whose results are in the log.
-    pub fn mark(&self, epoch: u32, items: &[u32], settled: &[u32]) -> Step {
+    /// Marks items that must run at most once before they are sent, and removes the marks of items
+    /// whose results are in the log.
+    pub fn mark(&self, epoch: u32, items: &[u32], settled: &[u32]) -> Decision {
         let Some(at) = self.held.iter().position(|held| held.epoch == epoch) else {
-            return Step::Lost;
+            return Decision::Superseded;
         };
         let marked = &self.held[at].marked;
         if items.iter().all(|item| marked.contains(item)) {
-            return Step::Already;
+            return Decision::Applied;
         }
         let mut lane = self.clone();
         let marked = &mut lane.held[at].marked;
@@ -189,42 +186,42 @@
                 .iter()
                 .filter(|item| !self.held[at].marked.contains(item)),
         );
-        Step::Write(lane)
+        Decision::Write(lane)
     }
 
     /// Commits a chunk under the epoch of its holder.
     ///
-    /// A holder that was paused past its lease comes back and finishes a chunk
-    /// which another has taken, and perhaps committed. Its epoch is no longer
-    /// among the held ones, so its results are never seen.
-    pub fn commit(&self, done: Committed) -> Step {
+    /// A holder that was paused past its lease may finish a chunk that another holder has taken
+    /// over or even committed. Its epoch is no longer in the row, so its results never become
+    /// readable.
+    pub fn commit(&self, done: Committed) -> Decision {
         if self
             .committed
             .iter()
             .any(|c| c.chunk == done.chunk && c.epoch == done.epoch)
         {
-            return Step::Already;
+            return Decision::Applied;
         }
         let Some(at) = self.position(done.chunk, done.epoch) else {
-            return Step::Lost;
+            return Decision::Superseded;
         };
         let mut lane = self.clone();
         lane.held.remove(at);
         lane.committed.push(done);
-        Step::Write(lane)
+        Decision::Write(lane)
     }
 
-    /// Gives a chunk back with the log written so far. `unsent` are marked
-    /// items that were not sent after all.
-    pub fn release(&self, epoch: u32, until: u64, unsent: &[u32]) -> Step {
+    /// Releases a chunk together with the log written so far. `unsent` are marked items that were
+    /// not sent.
+    pub fn release(&self, epoch: u32, until: u64, unsent: &[u32]) -> Decision {
         let Some(at) = self.held.iter().position(|held| held.epoch == epoch) else {
-            return Step::Lost;
+            return Decision::Superseded;
         };
         let mut lane = self.clone();
-        let mut freed = free(lane.held.remove(at), Some(until));
+        let mut freed = to_freed(lane.held.remove(at), Some(until));
         freed.marked.retain(|item| !unsent.contains(item));
         lane.freed.push(freed);
-        Step::Write(lane)
+        Decision::Write(lane)
     }
 
     fn position(&self, chunk: u32, epoch: u32) -> Option<usize> {
@@ -249,9 +246,9 @@
     }
 }
 
-fn free(held: Held, until: Option<u64>) -> Freed {
+fn to_freed(held: Held, until: Option<u64>) -> Freed {
     let mut trails = held.trails;
-    trails.push(Trail {
+    trails.push(LogRange {
         session: held.session,
         from: held.from,
         until,
--- a/src/job/read.rs
+++ b/src/job/read.rs
@@ -1,7 +1,7 @@
 //! Reads jobs and their results.
 //!
-//! Results are read from committed chunks alone, under the epoch that the
-//! commit names, so that what was readable once never changes.
+//! Results are read only from committed chunks, under the epoch in the commit, so a result that was
+//! readable once never changes.
 
 use super::accept::{self, Jobs};
 use super::change;
@@ -13,30 +13,30 @@
 use crate::outcome::{Outcome, Reason, Refusal};
 use crate::table::{Fault, Page, Store, Table};
 
-/// Rows of a page that costs one read.
-const PAGE: usize = 100;
-/// Results that one page gives when the caller names no limit, and at most.
+/// Rows of a page, which costs one read.
+const PAGE_ROWS: usize = 100;
+/// Default and largest number of results on a page.
 const DEFAULT_LIMIT: usize = 100;
 const MAX_LIMIT: usize = 1_000;
 
-/// A job and its items by their state.
+/// A job with its counts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
-    /// Its identity.
+    /// Identity of the job.
     pub id: Id,
-    /// Its row.
+    /// Content of its row.
     pub job: Job,
-    /// Items whose results are readable, by how they ended.
+    /// Items with readable results, by how they ended.
     pub counts: Counts,
 }
 
 /// A page of results.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Results {
-    /// Results in item order. While the job is active, items of chunks that are
-    /// not committed yet are left out.
+    /// Results in item order. While the job is active, items of chunks that are not committed yet
+    /// are missing.
     pub replies: Vec<Reply>,
-    /// Where to go on; none when nothing follows yet.
+    /// First item of the next page; `None` if nothing follows yet.
     pub next: Option<u32>,
     /// The job's state.
     pub state: State,
@@ -47,7 +47,7 @@
 pub struct Listing {
     /// The jobs.
     pub jobs: Vec<Status>,
-    /// Where to go on; empty when nothing follows.
+    /// Start of the next page; empty if nothing follows.
     pub next: String,
 }
 
@@ -56,35 +56,35 @@
     T: Table,
     S: Store,
 {
-    /// Counts the items of a job by their state.
+    /// Returns a job with the counts of its items.
     pub async fn status(&self, id: &Id) -> Outcome<Status> {
-        match self.look(id).await {
+        match self.load(id).await {
             Ok(Some((job, committed))) => Outcome::Done(status(job, &committed)),
             Ok(None) => Outcome::NotRun(Refusal::new(Reason::UnknownJob)),
-            Err(fault) => Outcome::NotRun(accept::platform(&fault)),
+            Err(fault) => Outcome::NotRun(accept::platform_refusal(&fault)),
         }
     }
 
-    /// Results from item `from` on, at most `limit` of them; 0 means 100.
+    /// Returns at most `limit` results from item `from` on; 0 means 100.
     pub async fn results(&self, id: &Id, from: u32, limit: usize) -> Outcome<Results> {
         let limit = match limit {
             0 => DEFAULT_LIMIT,
             limit => limit.min(MAX_LIMIT),
         };
-        match self.look(id).await {
+        match self.load(id).await {
             Ok(Some((job, committed))) => match self.page(&job, &committed, from, limit).await {
                 Ok(results) => Outcome::Done(results),
-                Err(fault) => Outcome::NotRun(accept::platform(&fault)),
+                Err(fault) => Outcome::NotRun(accept::platform_refusal(&fault)),
             },
             Ok(None) => Outcome::NotRun(Refusal::new(Reason::UnknownJob)),
-            Err(fault) => Outcome::NotRun(accept::platform(&fault)),
+            Err(fault) => Outcome::NotRun(accept::platform_refusal(&fault)),
         }
     }
 
-    /// The result of the item that the caller named `item`, or of the item with
-    /// that number when it gave no keys; none while it has no result.
+    /// Returns the result of the item with the key `item`, or with that number if items have no
+    /// keys. Returns `None` while the item has no result.
     pub async fn result(&self, id: &Id, item: &str) -> Outcome<Option<Reply>> {
-        let found = match self.look(id).await {
+        let found = match self.load(id).await {
             Ok(Some((job, committed))) => self.find(&job, &committed, item).await,
             Ok(None) => return Outcome::NotRun(Refusal::new(Reason::UnknownJob)),
             Err(fault) => Err(fault),
@@ -95,34 +95,33 @@
                 let message = format!("the job has no item {item:?}");
                 Outcome::NotRun(Refusal::new(Reason::Invalid).with_message(message))
             }
-            Err(fault) => Outcome::NotRun(accept::platform(&fault)),
+            Err(fault) => Outcome::NotRun(accept::platform_refusal(&fault)),
         }
     }
 
-    /// A page of an organisation's jobs; `after` is empty or the page before's
-    /// `next`.
+    /// Returns a page of an organisation's jobs. `after` is empty or `next` of the page before.
     pub async fn list(&self, organisation: &str, after: &str, limit: usize) -> Outcome<Listing> {
-        let limit = if limit == 0 { 20 } else { limit.min(PAGE) };
+        let limit = if limit == 0 { 20 } else { limit.min(PAGE_ROWS) };
         let prefix = format!("job/{organisation}/");
         let after = if after.is_empty() {
             String::new()
         } else {
             prefix.clone() + after
         };
-        match self.listing(&prefix, &after, limit).await {
+        match self.list_page(&prefix, &after, limit).await {
             Ok(listing) => Outcome::Done(listing),
-            Err(fault) => Outcome::NotRun(accept::platform(&fault)),
+            Err(fault) => Outcome::NotRun(accept::platform_refusal(&fault)),
         }
     }
 
-    async fn listing(&self, prefix: &str, after: &str, limit: usize) -> Result<Listing, Fault> {
+    async fn list_page(&self, prefix: &str, after: &str, limit: usize) -> Result<Listing, Fault> {
         let page = self.table.scan(prefix, after, limit).await?;
         let mut jobs = Vec::new();
         for row in &page.rows {
             let Some(job) = record::decode::<Job>(&row.value) else {
                 continue;
             };
-            let (job, committed) = self.complete(job, row.version).await?;
+            let (job, committed) = self.load_lanes(job, row.version).await?;
             jobs.push(status(job, &committed));
         }
         let last = page.rows.last().and_then(|row| row.key.rsplit('/').next());
@@ -133,32 +132,34 @@
         Ok(Listing { jobs, next })
     }
 
-    async fn look(&self, id: &Id) -> Result<Option<(Job, Vec<Committed>)>, Fault> {
-        match self.job(id).await? {
-            Some((job, version)) => Ok(Some(self.complete(job, version).await?)),
+    async fn load(&self, id: &Id) -> Result<Option<(Job, Vec<Committed>)>, Fault> {
+        match self.load_job(id).await? {
+            Some((job, version)) => Ok(Some(self.load_lanes(job, version).await?)),
             None => Ok(None),
         }
     }
 
-    /// Reads a job's lanes, and ends the job when its last holder was lost
-    /// before it could.
-    async fn complete(&self, job: Job, version: u64) -> Result<(Job, Vec<Committed>), Fault> {
+    /// Reads a job's lanes, and ends the job if its last holder was lost before it could.
+    async fn load_lanes(&self, job: Job, version: u64) -> Result<(Job, Vec<Committed>), Fault> {
         let mut lanes = Vec::new();
         let mut open = false;
-        // Open lanes first: a lane that moves between the two reads is met in
-        // the second one.
+        // Open lanes are read first: a lane that moves between the two reads is found by the second
+        // one.
         if job.state != State::Ended {
-            let page = self.table.scan(&job.open_lanes(), "", PAGE).await?;
+            let page = self.table.scan(&job.open_lanes(), "", PAGE_ROWS).await?;
             open = !page.rows.is_empty();
             lanes.extend(decode(&page));
         }
-        let page = self.table.scan(&job.id().closed(), "", PAGE).await?;
+        let page = self
+            .table
+            .scan(&job.id().closed_prefix(), "", PAGE_ROWS)
+            .await?;
         lanes.extend(decode(&page));
         let mut committed: Vec<Committed> = lanes.into_iter().flat_map(|l| l.committed).collect();
         committed.sort_unstable_by_key(|chunk| chunk.chunk);
         committed.dedup_by_key(|chunk| chunk.chunk);
         let state = if job.state == State::Active && !open {
-            change::end(&self.table, &job, version).await?
+            change::end_if_complete(&self.table, &job, version).await?
         } else {
             job.state
         };
@@ -190,7 +191,7 @@
         })
     }
 
-    /// The results of one chunk, none of them while it has none.
+    /// Returns the results of one chunk, or none if it is not committed.
     async fn chunk(
         &self,
         job: &Job,
@@ -199,13 +200,13 @@
     ) -> Result<Vec<Reply>, Fault> {
         let Ok(at) = committed.binary_search_by_key(&chunk, |c| c.chunk) else {
             let cancelled = job.state == State::Cancelled;
-            let numbers = job.numbers(chunk).filter(|_| cancelled);
-            return Ok(numbers.map(withheld).collect());
+            let numbers = job.item_range(chunk).filter(|_| cancelled);
+            return Ok(numbers.map(cancelled_reply).collect());
         };
         let name = job.id().replies(chunk, committed[at].epoch);
         let object = self.store.get(&name).await?;
-        // The object was stored before its name was committed, so its absence
-        // can only be a read that went wrong.
+        // The object was stored before the commit that names it, so a missing object is a failed
+        // read.
         object
             .and_then(|bytes| record::decode(&bytes))
             .ok_or(Fault::Unknown)
@@ -224,7 +225,7 @@
         Ok(Some(replies.into_iter().find(|r| r.number == number)))
     }
 
-    /// The number of the item that the caller calls `item`.
+    /// Returns the number of the item with the key `item`.
     async fn number(&self, job: &Job, item: &str) -> Result<Option<u32>, Fault> {
         if let Some(number) = item.parse().ok().filter(|number| *number < job.items)
             && self.key(job, number).await?.is_empty()
@@ -234,7 +235,7 @@
         for chunk in 0..job.chunks() {
             let items = self.items(job, chunk).await?;
             if let Some(at) = items.iter().position(|found| &*found.key == item) {
-                return Ok(job.numbers(chunk).nth(at));
+                return Ok(job.item_range(chunk).nth(at));
             }
         }
         Ok(None)
@@ -271,7 +272,7 @@
     }
 }
 
-fn withheld(number: u32) -> Reply {
+fn cancelled_reply(number: u32) -> Reply {
     Reply {
         number,
         key: "".into(),
--- a/src/job/record.rs
+++ b/src/job/record.rs
@@ -1,4 +1,4 @@
-//! What the rows and objects of jobs hold, and how it is encoded.
+//! Content of the rows and objects of jobs, and its encoding.
 
 use std::ops::Range;
 
@@ -11,53 +11,53 @@
 use super::key::{self, Id};
 use crate::name::Name;
 
-/// Fewest items of a chunk, but for the last one: a job of 50 is one chunk.
-const MIN_CHUNK: u32 = 128;
-/// Most items of a chunk.
-const MAX_CHUNK: u32 = 512;
-/// Chunks that a job is cut into between those bounds.
-const WANTED_CHUNKS: u32 = 64;
-/// Rows among which the chunks of a job are spread, so that claimers of one
-/// large job rarely meet.
+/// Least number of items of a chunk other than the last, so that a job of 50 items is one chunk.
+const MIN_CHUNK_ITEMS: u32 = 128;
+/// Largest number of items of a chunk.
+const MAX_CHUNK_ITEMS: u32 = 512;
+/// Number of chunks to aim for within those bounds.
+const TARGET_CHUNKS: u32 = 64;
+/// Most rows over which the chunks of a job are spread, so that claims on one large job rarely
+/// conflict.
 const MAX_LANES: u32 = 16;
 
-/// One item as the caller gave it.
+/// An item as submitted by the caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
-    /// The caller's name of the item, unique in its job; may be empty.
+    /// The caller's key of the item, unique in its job; may be empty.
     pub key: Name,
     /// The text to complete.
     pub prompt: Name,
-    /// Most tokens to generate.
+    /// Largest number of tokens to generate.
     pub max_tokens: u32,
 }
 
-/// Where a job is in its life. It only ever leaves [`State::Active`], once.
+/// State of a job. It changes once, from [`State::Active`] to one of the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum State {
-    /// Items are still open.
+    /// Some items have no result yet.
     Active,
     /// Every item has its result.
     Ended,
-    /// It was cancelled before every item had one.
+    /// It was cancelled before every item had a result.
     Cancelled,
 }
 
-/// A job's row. It changes once, when the job ends or is cancelled, so that
-/// its version is what every claim and commit checks.
+/// A job's row. It changes once, when the job ends or is cancelled, so every claim and commit can
+/// check its version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Job {
-    /// The service that answers the items.
+    /// The service that processes the items.
     pub service: Name,
-    /// Whose job it is.
+    /// The organisation that owns the job.
     pub organisation: Name,
-    /// The caller's key.
+    /// The caller's idempotency key.
     pub key: Name,
     /// Hash of the content, in hexadecimal.
     pub digest: Name,
     /// Number of items.
     pub items: u32,
-    /// Items of each chunk but the last.
+    /// Items in each chunk except the last.
     pub chunk: u32,
     /// Number of lanes.
     pub lanes: u32,
@@ -65,25 +65,25 @@
     pub accepted_at_ms: u64,
     /// When it is due, by the same clock.
     pub due_at_ms: u64,
-    /// True when each item must run at most once.
+    /// True if each item must run at most once.
     pub once: bool,
-    /// Where it is in its life.
+    /// State of the job.
     pub state: State,
 }
 
 /// Items by how they ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Whole answers.
+    /// Complete answers.
     pub done: u32,
-    /// Items that can't be completed.
+    /// Items that cannot be completed.
     pub failed: u32,
     /// Items that must run at most once and may have run.
     pub unknown: u32,
 }
 
 impl Counts {
-    /// The sum of both.
+    /// Returns the sum of both.
     #[must_use]
     pub const fn plus(self, other: Self) -> Self {
         Self {
@@ -105,14 +105,14 @@
         self.items.div_ceil(self.chunk)
     }
 
-    /// The item numbers of a chunk.
-    pub fn numbers(&self, chunk: u32) -> Range<u32> {
+    /// Numbers of the items of a chunk.
+    pub fn item_range(&self, chunk: u32) -> Range<u32> {
         let first = chunk * self.chunk;
         first..self.items.min(first + self.chunk)
     }
 
-    /// The chunk numbers of a lane: neighbours, in even shares.
-    pub fn span(&self, lane: u32) -> Range<u32> {
+    /// Indices of the chunks of a lane: consecutive, and distributed evenly over the lanes.
+    pub fn chunk_range(&self, lane: u32) -> Range<u32> {
         let at = |lane: u32| {
             let chunk = u64::from(lane) * u64::from(self.chunks()) / u64::from(self.lanes);
             u32::try_from(chunk).unwrap_or(u32::MAX)
@@ -122,26 +122,28 @@
 
     /// Key of the row of an unfinished lane.
     pub fn open_lane(&self, lane: u32) -> String {
-        self.open_lanes() + &key::lane(lane)
+        self.open_lanes() + &key::lane_suffix(lane)
     }
 
     /// Prefix of the rows of its unfinished lanes.
     pub fn open_lanes(&self) -> String {
-        key::open(&self.service, self.due_at_ms, &self.id())
+        key::open_prefix(&self.service, self.due_at_ms, &self.id())
     }
 
     /// Key of the row of a finished lane.
     pub fn closed_lane(&self, lane: u32) -> String {
-        self.id().closed() + &key::lane(lane)
+        self.id().closed_prefix() + &key::lane_suffix(lane)
     }
 }
 
-/// Items of each chunk of a job of that many items.
+/// Items in each chunk of a job with that many items.
 pub fn chunk_len(items: u32) -> u32 {
-    items.div_ceil(WANTED_CHUNKS).clamp(MIN_CHUNK, MAX_CHUNK)
+    items
+        .div_ceil(TARGET_CHUNKS)
+        .clamp(MIN_CHUNK_ITEMS, MAX_CHUNK_ITEMS)
 }
 
-/// Lanes of a job of that many chunks.
+/// Lanes of a job with that many chunks.
 pub fn lanes(chunks: u32) -> u32 {
     chunks.clamp(1, MAX_LANES)
 }
@@ -149,8 +151,7 @@
 /// Encodes a row or an object.
 ///
 /// # Panics
-/// Never for the types of this module: they are plain data, and writing into
-/// memory can't fail.
+/// Never for the types of this module: they are plain data, and writing into memory cannot fail.
 pub fn encode<V>(value: &V) -> Bytes
 where
     V: Serialize,
@@ -160,7 +161,7 @@
     bytes.into()
 }
 
-/// Decodes a row or an object; nothing when it was written by something else.
+/// Decodes a row or an object; returns `None` if it has another format.
 pub fn decode<V>(bytes: &[u8]) -> Option<V>
 where
     V: DeserializeOwned,
--- a/src/job/runner.rs
+++ b/src/job/runner.rs
@@ -1,9 +1,8 @@
-//! Executes chunks on one node: claims, sends items, flushes, commits.
+//! Executes chunks on one node: claims them, sends their items, flushes and commits results.
 //!
-//! The shell around [`Chunk`], [`Ledger`], [`Index`] and [`Watch`]. Every call
-//! to the platform is a task of its own, so that a platform which is down or
-//! slow never keeps an item from being sent. Dropping the runner stops all of
-//! them, as the loss of the VM would.
+//! Drives [`Chunk`](super::chunk::Chunk), [`Scheduler`], [`Index`] and [`Watch`]. Each call to the
+//! platform runs in a task of its own, so that a slow or unreachable platform never delays sending
+//! an item. Dropping the runner stops all tasks, as the loss of the VM would.
 
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -19,7 +18,7 @@
 
 use super::index::Index;
 use super::key::Id;
-use super::order::Ledger;
+use super::order::Scheduler;
 use super::watch::Watch;
 use super::{Execute, Setting};
 use crate::clock::Time;
@@ -39,38 +38,38 @@
 use flush::Flush;
 use work::Work;
 
-/// Longest time between two looks at what is due.
-const TICK: Duration = Duration::from_millis(100);
-/// Time over which the nodes spread that are told of a new job.
-const ACCEPTED_SPREAD: Duration = Duration::from_millis(250);
-/// Virtual origin, so that periods that passed before the start count as over.
-const ORIGIN: Time = Time::from_millis(3_600_000);
+/// Longest interval between checks for due work.
+const MAX_TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Jitter over which nodes spread their reads of the index after a job was accepted.
+const ACCEPTED_JITTER: Duration = Duration::from_millis(250);
+/// Start of the runner's clock, late enough that all intervals count as elapsed at the start.
+const CLOCK_ORIGIN: Time = Time::from_millis(3_600_000);
 
-/// What the rest of the node tells the runner.
+/// Notifications from the rest of the node to the runner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input {
     /// A job was cancelled.
     Cancelled(Id),
-    /// Weights of the organisations, from configuration.
+    /// New weights of the organisations, from configuration.
     Weights(BTreeMap<Name, u32>),
-    /// A job of this service was accepted somewhere.
+    /// A job of this service was accepted at some node.
     Accepted(Name),
 }
 
-/// Tells a runner on another thread.
+/// Sends notifications to a runner on another thread.
 #[derive(Clone, Debug)]
 pub struct Handle {
     inputs: mpsc::UnboundedSender<Input>,
 }
 
 impl Handle {
-    /// Passes on what happened; does nothing when the runner has ended.
+    /// Sends a notification; does nothing if the runner has ended.
     pub fn send(&self, input: Input) {
         let _ = self.inputs.send(input);
     }
 }
 
-/// What one runner has done, for metrics and tests.
+/// Counters of one runner, for metrics and tests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
     /// Items sent to the dispatchers.
@@ -83,9 +82,9 @@
     pub committed: u64,
     /// Chunks lost to another holder.
     pub lost: u64,
-    /// Chunks given back.
+    /// Chunks released.
     pub released: u64,
-    /// Claims that collided with another node's.
+    /// Claims that conflicted with another node's.
     pub collided: u64,
     /// Segments flushed.
     pub flushed: u64,
@@ -105,13 +104,13 @@
     next_work: u64,
     services: BTreeMap<Name, Search>,
     watch: Watch,
-    due: Due,
+    timers: Timers,
     weights: BTreeMap<Name, u32>,
     stats: Rc<Cell<Stats>>,
     stopping: bool,
 }
 
-/// The two services that the runner's tasks use.
+/// The platform's two services that the runner's tasks call.
 struct Platform<T, S> {
     table: T,
     store: S,
@@ -120,32 +119,31 @@
 /// The lease of this holder.
 struct Lease {
     session: Name,
-    taken: bool,
+    acquired: bool,
     renewing: bool,
     renewed: Time,
 }
 
-/// What the runner knows of one service.
+/// The runner's state of one service.
 struct Search {
     index: Index,
-    ledger: Ledger,
+    scheduler: Scheduler,
     scanned: Time,
     scanning: bool,
     claiming: BTreeSet<String>,
-    /// Items whose future has not been polled yet, so that the dispatcher has
-    /// not counted them.
-    unseen: Rc<Cell<usize>>,
+    /// Items whose future has not been polled yet, so that the dispatcher does not count them.
+    unpolled: Rc<Cell<usize>>,
 }
 
-/// When periodic work was done last.
-struct Due {
+/// Last times of periodic work.
+struct Timers {
     listed: Time,
     listing: bool,
     checked: Time,
     checking: bool,
 }
 
-/// What a task came to.
+/// Result of a task.
 enum Event {
     Item(work::Answered),
     Scanned(claim::Scanned),
@@ -156,7 +154,7 @@
     Marked(work::Marked),
     Ended(Ended),
     Checked(Vec<Id>),
-    Swept,
+    LeaseRemoved,
 }
 
 impl<T, S, E> Runner<T, S, E>
@@ -165,8 +163,7 @@
     S: Store + 'static,
     E: Execute + 'static,
 {
-    /// A runner whose holder is called `session`, which must be unique for each
-    /// start of a process.
+    /// Creates a runner for the holder `session`, which must be unique for each start of a process.
     pub fn new(session: Name, table: T, store: S, execute: E, setting: Setting) -> (Self, Handle) {
         let (sender, inputs) = mpsc::unbounded_channel();
         let runner = Self {
@@ -178,7 +175,7 @@
             started: Instant::now(),
             lease: Lease {
                 session,
-                taken: false,
+                acquired: false,
                 renewing: false,
                 renewed: Time::ZERO,
             },
@@ -187,10 +184,10 @@
             next_work: 0,
             services: BTreeMap::new(),
             watch: Watch::new(setting.lease_duration),
-            due: Due {
+            timers: Timers {
                 listed: Time::ZERO,
                 listing: false,
-                checked: ORIGIN,
+                checked: CLOCK_ORIGIN,
                 checking: false,
             },
             weights: BTreeMap::new(),
@@ -200,12 +197,12 @@
         (runner, Handle { inputs: sender })
     }
 
-    /// Where this runner counts what it does; read it on its own thread.
+    /// Returns the runner's counters, which must be read on its own thread.
     pub fn stats(&self) -> Rc<Cell<Stats>> {
         self.stats.clone()
     }
 
-    /// Runs until `stop` is ready, then gives back what it holds and returns.
+    /// Runs until `stop` is ready, then releases all chunks and returns.
     ///
     /// Must run inside a `LocalSet` or on an `actix-rt` arbiter.
     pub async fn run<F>(mut self, stop: F)
@@ -214,7 +211,7 @@
     {
         let mut stop = pin!(stop);
         loop {
-            self.drive();
+            self.run_due();
             tokio::select! {
                 biased;
                 () = &mut stop => break,
@@ -224,19 +221,19 @@
                         self.event(event);
                     }
                 }
-                () = tokio::time::sleep(TICK) => {}
+                () = tokio::time::sleep(MAX_TICK_INTERVAL) => {}
             }
         }
         self.drain().await;
     }
 
     fn now(&self) -> Time {
-        ORIGIN + self.started.elapsed()
+        CLOCK_ORIGIN + self.started.elapsed()
     }
 
-    /// A part of `period` that differs between nodes. Nodes that looked at the
-    /// index in the same millisecond would all claim the same rows.
-    fn phase(&self, period: Duration) -> Duration {
+    /// Returns a fraction of `period` that differs between nodes. Nodes that read the index in the
+    /// same millisecond would all claim the same rows.
+    fn jitter(&self, period: Duration) -> Duration {
         let hash = xxh3_64(self.lease.session.as_bytes());
         let micros = u64::try_from(period.as_micros()).unwrap_or(u64::MAX);
         Duration::from_micros(hash % micros.max(1))
@@ -256,14 +253,14 @@
             Input::Cancelled(id) => self.drop_job(&id),
             Input::Weights(weights) => {
                 for search in self.services.values_mut() {
-                    search.ledger.weigh(weights.clone());
+                    search.scheduler.set_weights(weights.clone());
                 }
                 self.weights = weights;
             }
             Input::Accepted(service) => {
                 let now = self.now();
                 let poll = self.setting.poll_interval;
-                let wait = self.phase(ACCEPTED_SPREAD);
+                let wait = self.jitter(ACCEPTED_JITTER);
                 if let Some(search) = self.services.get_mut(&service) {
                     search.scanned = search.scanned.min((now + wait) - poll);
                 }
@@ -282,12 +279,11 @@
             Event::Marked(marked) => self.marked(&marked),
             Event::Ended(ended) => self.ended(&ended),
             Event::Checked(over) => self.checked(&over),
-            Event::Swept => {}
+            Event::LeaseRemoved => {}
         }
     }
 
-    /// Stops sending items of a job that is no longer active, and cancels those
-    /// at endpoints.
+    /// Stops sending items of a job that is no longer active, and cancels its items at endpoints.
     fn drop_job(&mut self, id: &Id) {
         let of_job = |work: &Work| work.id == *id;
         let dropped: Vec<u64> = self
--- a/src/job/runner/claim.rs
+++ b/src/job/runner/claim.rs
@@ -10,10 +10,10 @@
 use super::{Event, Platform, Runner};
 use crate::clock::Time;
 use crate::event;
-use crate::job::change::{self, Change, Place};
+use crate::job::change::{self, Resolution, Target};
 use crate::job::chunk::Chunk;
-use crate::job::index::{Open, PAGE};
-use crate::job::lane::{Held, Lane, Step};
+use crate::job::index::{Open, PAGE_ROWS};
+use crate::job::lane::{Decision, Held, Lane};
 use crate::job::order::Candidate;
 use crate::job::record::{self, Item, Job, State};
 use crate::job::segment::{self, Entry};
@@ -22,16 +22,16 @@
 use crate::name::Name;
 use crate::table::{Check, Fault, Page, Store, Table};
 
-/// Part of the polling period after which a failed claim is tried again.
-const RETRY_PART: u32 = 8;
+/// Fraction of the polling interval (1/8) after which a failed claim is retried.
+const RETRY_DIVISOR: u32 = 8;
 
-/// A page of the index.
+/// Result of reading a page of the index.
 pub(super) struct Scanned {
     service: Name,
     page: Result<Page, Fault>,
 }
 
-/// What a claim came to.
+/// Result of a claim.
 pub(super) struct Claimed {
     service: Name,
     row: String,
@@ -40,15 +40,15 @@
     kind: Kind,
 }
 
-/// Why a chunk is claimed.
+/// Reason for which a chunk may be claimed.
 #[derive(Clone, Debug)]
 enum Kind {
-    /// Nobody has it.
+    /// The chunk has no holder.
     Free,
-    /// Its holder is taken for lost, by the check that must still hold.
-    Lost(u32, Check),
-    /// This node has it, by a claim whose answer was lost.
-    Mine(u32),
+    /// Its holder is presumed lost; the check must still hold at the claim.
+    Expired(u32, Check),
+    /// This node holds it by a claim whose answer was lost.
+    Own(u32),
 }
 
 impl<T, S, E> Runner<T, S, E>
@@ -57,12 +57,12 @@
     S: Store + 'static,
     E: Execute + 'static,
 {
-    /// Looks for work when the service has more room than items wait here.
-    pub(super) fn seek(&mut self, now: Time, service: &Name) {
+    /// Looks for work if the service has capacity for more items than wait on this node.
+    pub(super) fn find_work(&mut self, now: Time, service: &Name) {
         let mut works = self
             .works
             .values()
-            .filter(|work| work.place.job.service == *service);
+            .filter(|work| work.target.job.service == *service);
         let waiting: usize = works.by_ref().map(|work| work.chunk.waiting()).sum();
         let claiming: usize = self.services.values().map(|s| s.claiming.len()).sum();
         let full = self.works.len() + claiming >= self.setting.max_chunks;
@@ -75,15 +75,14 @@
         if self.execute.capacity(service) == 0 {
             return;
         }
-        // A claim is made on what was read just now. From what was read before
-        // the last chunk began, a small urgent job would not be seen until all
-        // lanes known then are used up.
-        if !self.scan(now, service) && self.lease.taken {
+        // A claim is based on the page just read. With a page read before the current chunk began,
+        // a small urgent job would stay unseen until all lanes known at that time were used up.
+        if !self.scan(now, service) && self.lease.acquired {
             self.claim(now, service);
         }
     }
 
-    /// Starts to read a page when the last one is old; true while one is read.
+    /// Starts to read a page if the last one is old. Returns true while a read is in progress.
     fn scan(&mut self, now: Time, service: &Name) -> bool {
         let poll = self.setting.poll_interval;
         let Some(search) = self.services.get_mut(service) else {
@@ -98,8 +97,8 @@
         let service = service.clone();
         let platform = self.platform.clone();
         self.tasks.spawn_local(async move {
-            let prefix = key::service(&service);
-            let page = platform.table.scan(&prefix, &after, PAGE).await;
+            let prefix = key::service_prefix(&service);
+            let page = platform.table.scan(&prefix, &after, PAGE_ROWS).await;
             Event::Scanned(Scanned { service, page })
         });
         true
@@ -111,11 +110,11 @@
         };
         search.scanning = false;
         if let Ok(page) = scanned.page {
-            search.index.take(page);
+            search.index.add_page(page);
         }
     }
 
-    /// Starts the claim that is next, if there is one.
+    /// Starts the next claim, if there is one.
     fn claim(&mut self, now: Time, service: &Name) {
         let Some((open, kind)) = self.choose(now, service) else {
             return;
@@ -124,7 +123,7 @@
             return;
         };
         search.claiming.insert(open.row.key.clone());
-        let bid = Bid {
+        let attempt = Attempt {
             open,
             kind,
             session: self.lease.session.clone(),
@@ -134,11 +133,11 @@
         let service = service.clone();
         let platform = self.platform.clone();
         self.tasks.spawn_local(async move {
-            let row = bid.open.row.key.clone();
-            let kind = bid.kind.clone();
-            let got = bid.place(&platform).await;
+            let row = attempt.open.row.key.clone();
+            let kind = attempt.kind.clone();
+            let got = attempt.run(&platform).await;
             let items = got.as_ref().map_or(0, |work| {
-                let numbers = work.place.job.numbers(work.held.chunk);
+                let numbers = work.target.job.item_range(work.held.chunk);
                 numbers.end - numbers.start
             });
             Event::Claimed(Box::new(Claimed {
@@ -151,8 +150,8 @@
         });
     }
 
-    /// Chunks of lost holders first, for they have waited longest; then what
-    /// fairness and due times say.
+    /// Chooses chunks of lost holders first, since they have waited longest, and then by fairness
+    /// and due time.
     fn choose(&mut self, now: Time, service: &Name) -> Option<(Open, Kind)> {
         let search = self.services.get_mut(service)?;
         let lost = search.index.held().find_map(|(open, held)| {
@@ -172,7 +171,7 @@
         let free: Vec<&Open> = search.index.free().collect();
         let session = &self.lease.session;
         let candidates: Vec<Candidate> = free.iter().map(|open| candidate(session, open)).collect();
-        let at = search.ledger.pick(&candidates)?;
+        let at = search.scheduler.pick(&candidates)?;
         Some((free[at].clone(), Kind::Free))
     }
 
@@ -183,17 +182,19 @@
             return;
         };
         search.claiming.remove(&claimed.row);
-        search.index.forget(&claimed.row);
+        search.index.remove(&claimed.row);
         let Some(work) = claimed.got else {
-            // Soon again, but not at once: the platform may be down.
-            search.scanned = (now + poll / RETRY_PART) - poll;
+            // Retry soon, but not at once: the platform may be unreachable.
+            search.scanned = (now + poll / RETRY_DIVISOR) - poll;
             self.count(|stats| stats.collided += 1);
             return;
         };
-        // The next look is due at once: the row that was known has changed.
+        // Read the index again at once, because the row has changed.
         search.scanned = Time::ZERO;
-        search.ledger.charge(&work.id.organisation, claimed.items);
-        let taken_over = matches!(claimed.kind, Kind::Lost(..));
+        search
+            .scheduler
+            .charge(&work.id.organisation, claimed.items);
+        let taken_over = matches!(claimed.kind, Kind::Expired(..));
         self.count(|stats| {
             stats.claimed += 1;
             stats.taken_over += u64::from(taken_over);
@@ -211,7 +212,7 @@
         );
         let number = self.next_work;
         self.next_work += 1;
-        let over = work.chunk.is_over();
+        let over = work.chunk.is_finished();
         self.works.insert(number, work);
         if over {
             self.commit(number);
@@ -219,7 +220,7 @@
     }
 }
 
-/// Whether a held chunk may be claimed, and on which ground.
+/// Returns the reason for which a held chunk may be claimed, if there is one.
 fn kind(
     now: Time,
     session: &Name,
@@ -230,16 +231,16 @@
 ) -> Option<Kind> {
     if held.session == *session {
         let known = works.values().any(|work| {
-            work.id == open.id && work.place.lane == open.number && work.held.epoch == held.epoch
+            work.id == open.id && work.target.lane == open.number && work.held.epoch == held.epoch
         });
-        return (!known).then_some(Kind::Mine(held.epoch));
+        return (!known).then_some(Kind::Own(held.epoch));
     }
     let version = match watch.verdict(now, &held.session) {
         Verdict::Alive => return None,
         Verdict::Expired(version) => Some(version),
         Verdict::Gone => None,
     };
-    Some(Kind::Lost(
+    Some(Kind::Expired(
         held.epoch,
         change::guard(&held.session, version),
     ))
@@ -256,8 +257,8 @@
     }
 }
 
-/// One attempt at a claim.
-struct Bid {
+/// An attempt to claim a chunk.
+struct Attempt {
     open: Open,
     kind: Kind,
     session: Name,
@@ -265,83 +266,83 @@
     attempts: u32,
 }
 
-impl Bid {
-    async fn place<T, S>(&self, platform: &Rc<Platform<T, S>>) -> Option<Work>
+impl Attempt {
+    async fn run<T, S>(&self, platform: &Rc<Platform<T, S>>) -> Option<Work>
     where
         T: Table,
         S: Store,
     {
         let row = platform.table.get(&self.open.id.row()).await.ok()??;
         let job: Job = record::decode(&row.value)?;
-        let place = Place {
+        let target = Target {
             job,
             version: row.version,
             lane: self.open.number,
         };
-        if place.job.state != State::Active {
-            change::close(&platform.table, &place).await;
+        if target.job.state != State::Active {
+            change::close(&platform.table, &target).await;
             return None;
         }
         let guard = match &self.kind {
-            Kind::Lost(_, guard) => Some(guard),
-            Kind::Free | Kind::Mine(_) => None,
+            Kind::Expired(_, guard) => Some(guard),
+            Kind::Free | Kind::Own(_) => None,
         };
-        let wanted = RefCell::new(None);
+        let proposed = RefCell::new(None);
         let known = Some(self.open.row.clone());
-        let decide = |lane: &Lane| self.decide(lane, &mut wanted.borrow_mut());
-        match change::apply(&platform.table, &place, known, guard, decide).await {
-            Change::Settled => {
-                let held = wanted.take()?;
-                Some(self.load(platform, place, held).await)
+        let decide = |lane: &Lane| self.decide(lane, &mut proposed.borrow_mut());
+        match change::apply(&platform.table, &target, known, guard, decide).await {
+            Resolution::Applied => {
+                let held = proposed.take()?;
+                Some(self.load(platform, target, held).await)
             }
-            // When the answer was lost, the next look at the index finds this
-            // node's own session in the row and takes the chunk up.
-            Change::Lost | Change::Over | Change::Unsure(_) => None,
+            // If only the answer was lost, the next read of the index finds this node's own session
+            // in the row and resumes the chunk.
+            Resolution::Superseded | Resolution::Inactive | Resolution::Unknown(_) => None,
         }
     }
 
-    /// The row as it is now decides which chunk is claimed, so that a collision
-    /// costs another try and not another look at the index. `wanted` is what the
-    /// try before this one wanted: found in the row, that try has taken effect.
-    fn decide(&self, lane: &Lane, wanted: &mut Option<Held>) -> Step {
+    /// Decides on the current row which chunk is claimed, so that a conflict costs another attempt
+    /// but no further read of the index. `proposed` is the claim of the previous attempt: if it is
+    /// in the row, that attempt has taken effect.
+    fn decide(&self, lane: &Lane, proposed: &mut Option<Held>) -> Decision {
         let mine = |held: &Held| {
-            let found = lane.holding(held.epoch);
+            let found = lane.find_held(held.epoch);
             found.is_some_and(|found| found.session == held.session)
         };
-        if wanted.as_ref().is_some_and(mine) {
-            return Step::Already;
+        if proposed.as_ref().is_some_and(mine) {
+            return Decision::Applied;
         }
         let change = match self.kind {
             Kind::Free => lane.claim(&self.session, self.from),
-            Kind::Lost(epoch, _) => lane.take_over(epoch, &self.session, self.from),
-            Kind::Mine(epoch) => lane.resume(epoch, &self.session, self.from),
+            Kind::Expired(epoch, _) => lane.take_over(epoch, &self.session, self.from),
+            Kind::Own(epoch) => lane.resume(epoch, &self.session, self.from),
         };
         let Some((next, held)) = change else {
-            return Step::Lost;
+            return Decision::Superseded;
         };
-        *wanted = Some(held);
-        Step::Write(next)
+        *proposed = Some(held);
+        Decision::Write(next)
     }
 
-    /// Reads the items and what earlier holders logged. The chunk is claimed by
-    /// now, so this goes on until the store answers.
-    async fn load<T, S>(&self, platform: &Platform<T, S>, place: Place, held: Held) -> Work
+    /// Loads the items and the logs of earlier holders. The chunk is claimed already, so this
+    /// retries until the store answers.
+    async fn load<T, S>(&self, platform: &Platform<T, S>, target: Target, held: Held) -> Work
     where
         T: Table,
         S: Store,
     {
         let id = self.open.id.clone();
         let (items, left) = loop {
-            match read(&platform.store, &place.job, &held).await {
+            match read(&platform.store, &target.job, &held).await {
                 Ok(found) => break found,
-                Err(fault) => tokio::time::sleep(change::wait(&fault)).await,
+                Err(fault) => tokio::time::sleep(change::retry_after(&fault)).await,
             }
         };
-        let first = place.job.numbers(held.chunk).start;
-        let chunk = Chunk::new(&held, first, items, place.job.once, self.attempts, &left);
+        let first = target.job.item_range(held.chunk).start;
+        let chunk = Chunk::new(&held, first, items, target.job.once, self.attempts, &left);
         Work {
             id,
-            place,
+            target,
             held,
             chunk,
             phase: Phase::Idle,
@@ -356,8 +357,7 @@
 {
     let id = job.id();
     let object = store.get(&id.items(&job.digest, held.chunk)).await?;
-    // The items were stored before the job was accepted, so their absence can
-    // only be a read that went wrong.
+    // The items were stored before the job was accepted, so a missing object is a failed read.
     let items = object
         .and_then(|bytes| record::decode(&bytes))
         .ok_or(Fault::Unknown)?;
--- a/src/job/runner/commit.rs
+++ b/src/job/runner/commit.rs
@@ -1,19 +1,19 @@
-//! Commits finished chunks and gives back unfinished ones.
+//! Commits finished chunks, and drops chunks that were lost to another holder.
 
 use std::rc::Rc;
 
 use super::work::{Phase, Work};
 use super::{Event, Platform, Runner};
 use crate::event;
-use crate::job::change::{self, Change, Place};
+use crate::job::change::{self, Resolution, Target};
 use crate::job::lane::Committed;
 use crate::job::{Execute, Reply, record};
 use crate::table::{Store, Table};
 
-/// What a commit came to.
+/// Result of a commit.
 pub(super) struct Ended {
     work: u64,
-    change: Change,
+    change: Resolution,
 }
 
 impl<T, S, E> Runner<T, S, E>
@@ -22,18 +22,18 @@
     S: Store + 'static,
     E: Execute + 'static,
 {
-    /// Stores a finished chunk's results and commits their name.
+    /// Stores the results of a finished chunk and commits them.
     pub(super) fn commit(&mut self, number: u64) {
         let Some(work) = self.works.get_mut(&number) else {
             return;
         };
         work.phase = Phase::Committing;
-        let place = work.place.clone();
+        let target = work.target.clone();
         let committed = work.chunk.committed(work.held.epoch);
         let replies = work.chunk.replies();
         let platform = self.platform.clone();
         self.tasks.spawn_local(async move {
-            let change = commit(&platform, &place, committed, &replies).await;
+            let change = commit(&platform, &target, committed, &replies).await;
             Event::Ended(Ended {
                 work: number,
                 change,
@@ -42,8 +42,8 @@
     }
 
     pub(super) fn ended(&mut self, ended: &Ended) {
-        if ended.change != Change::Settled {
-            self.lose(ended.work);
+        if ended.change != Resolution::Applied {
+            self.abandon(ended.work);
             return;
         }
         if let Some(work) = self.drop_work(ended.work) {
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Another holder has the chunk, or its job is over.
-    pub(super) fn lose(&mut self, number: u64) {
+    /// Drops a chunk that another holder has taken over, or whose job is no longer active.
+    pub(super) fn abandon(&mut self, number: u64) {
         if let Some(work) = self.drop_work(number) {
             self.count(|stats| stats.lost += 1);
             log::warn!(
@@ -74,44 +74,43 @@
 }
 
 impl<T, S, E> Runner<T, S, E> {
-    /// Forgets a chunk, and its lane's row as it was known, which has changed.
+    /// Drops a chunk, and the outdated copy of its lane's row.
     fn drop_work(&mut self, number: u64) -> Option<Work> {
         let work = self.works.remove(&number)?;
-        if let Some(search) = self.services.get_mut(&work.place.job.service) {
+        if let Some(search) = self.services.get_mut(&work.target.job.service) {
             search
                 .index
-                .forget(&work.place.job.open_lane(work.place.lane));
+                .remove(&work.target.job.open_lane(work.target.lane));
         }
         Some(work)
     }
 }
 
-/// Goes on until it is certain whether the chunk is committed, through any
-/// outage: nobody else can commit under this epoch, and whoever takes the chunk
-/// meanwhile makes this commit fail.
+/// Retries, through any outage, until it is certain whether the chunk is committed. No other node
+/// can commit under this epoch, and a takeover makes this commit fail.
 async fn commit<T, S>(
     platform: &Rc<Platform<T, S>>,
-    place: &Place,
+    target: &Target,
     committed: Committed,
     replies: &[Reply],
-) -> Change
+) -> Resolution
 where
     T: Table,
     S: Store,
 {
-    let name = place.job.id().replies(committed.chunk, committed.epoch);
+    let name = target.job.id().replies(committed.chunk, committed.epoch);
     let object = record::encode(&replies);
     while let Err(fault) = platform.store.put(&name, object.clone()).await {
-        tokio::time::sleep(change::wait(&fault)).await;
+        tokio::time::sleep(change::retry_after(&fault)).await;
     }
     loop {
-        let change = change::apply(&platform.table, place, None, None, |lane| {
+        let change = change::apply(&platform.table, target, None, None, |lane| {
             lane.commit(committed)
         })
         .await;
-        let Change::Unsure(wait) = change else {
-            if change == Change::Settled && place.job.lanes > 1 {
-                end(platform, place).await;
+        let Resolution::Unknown(wait) = change else {
+            if change == Resolution::Applied && target.job.lanes > 1 {
+                end(platform, target).await;
             }
             return change;
         };
@@ -119,14 +118,17 @@
     }
 }
 
-/// Ends the job when this was the last chunk of its last lane. Failing to is
-/// harmless: whoever asks for the job's status does it then.
-async fn end<T, S>(platform: &Platform<T, S>, place: &Place)
+/// Ends the job if this was the last chunk of its last lane. A failure is harmless: the next status
+/// request for the job ends it.
+async fn end<T, S>(platform: &Platform<T, S>, target: &Target)
 where
     T: Table,
 {
-    let closed = platform.table.get(&place.job.closed_lane(place.lane)).await;
+    let closed = platform
+        .table
+        .get(&target.job.closed_lane(target.lane))
+        .await;
     if matches!(closed, Ok(Some(_))) {
-        let _ = change::end(&platform.table, &place.job, place.version).await;
+        let _ = change::end_if_complete(&platform.table, &target.job, target.version).await;
     }
 }
--- a/src/job/runner/drive.rs
+++ b/src/job/runner/drive.rs
@@ -1,4 +1,4 @@
-//! Does what is due, and gives everything back at the end.
+//! Runs periodic work, and releases all chunks on stop.
 
 use std::cell::Cell;
 use std::collections::BTreeSet;
@@ -8,27 +8,27 @@
 use super::{Runner, Search};
 use crate::clock::Time;
 use crate::event;
-use crate::job::change::{self, Change};
+use crate::job::change::{self, Resolution};
 use crate::job::index::Index;
-use crate::job::order::Ledger;
+use crate::job::order::Scheduler;
 use crate::job::{Execute, key};
 use crate::name::Name;
 use crate::table::{Store, Table, Transaction};
 
 impl Search {
-    fn new(service: Name, ledger: Ledger, scanned: Time) -> Self {
+    fn new(service: Name, scheduler: Scheduler, scanned: Time) -> Self {
         Self {
             index: Index::new(service),
-            ledger,
+            scheduler,
             scanned,
             scanning: false,
             claiming: BTreeSet::new(),
-            unseen: Rc::new(Cell::new(0)),
+            unpolled: Rc::new(Cell::new(0)),
         }
     }
 
-    /// True when there may be something to claim.
-    pub(super) fn is_promising(&self) -> bool {
+    /// Returns true if there may be a chunk to claim.
+    pub(super) fn has_claimable(&self) -> bool {
         !self.claiming.is_empty()
             || self.index.free().next().is_some()
             || self.index.held().next().is_some()
@@ -41,17 +41,17 @@
     S: Store + 'static,
     E: Execute + 'static,
 {
-    /// Does everything that is due now.
-    pub(super) fn drive(&mut self) {
+    /// Starts everything that is due now.
+    pub(super) fn run_due(&mut self) {
         let now = self.now();
         let services = self.execute.services();
         for service in &services {
-            self.know(service);
+            self.ensure_service(service);
             self.start_items(now, service);
-            self.seek(now, service);
+            self.find_work(now, service);
         }
         for work in self.works.values_mut() {
-            work.chunk.record_alone(now);
+            work.chunk.start_isolation(now);
         }
         self.mark_items();
         self.renew_due(now);
@@ -60,19 +60,19 @@
         self.check_due(now);
     }
 
-    fn know(&mut self, service: &Name) {
+    fn ensure_service(&mut self, service: &Name) {
         if !self.services.contains_key(service) {
-            let mut ledger = Ledger::default();
-            ledger.weigh(self.weights.clone());
-            let scanned = self.now() - self.phase(self.setting.poll_interval);
-            let search = Search::new(service.clone(), ledger, scanned);
+            let mut scheduler = Scheduler::default();
+            scheduler.set_weights(self.weights.clone());
+            let scanned = self.now() - self.jitter(self.setting.poll_interval);
+            let search = Search::new(service.clone(), scheduler, scanned);
             self.services.insert(service.clone(), search);
         }
     }
 
-    /// Ends in order: no new claim and no new item; what runs may finish within
-    /// the grace; what is done is flushed; every chunk is given back, so that
-    /// others go on with it at once and not after the lease.
+    /// Stops gracefully: claims nothing and sends no new items, lets running items finish within
+    /// the drain timeout, flushes results, and releases every chunk, so that other nodes continue
+    /// at once and not only after the lease expires.
     pub(super) async fn drain(&mut self) {
         self.stopping = true;
         let end = self.now() + self.setting.drain_timeout;
@@ -108,7 +108,7 @@
                     self.event(event);
                 }
             }
-            () = tokio::time::sleep(super::TICK) => {
+            () = tokio::time::sleep(super::MAX_TICK_INTERVAL) => {
                 let now = self.now();
                 self.renew_due(now);
                 self.flush_due(now);
@@ -122,20 +122,20 @@
         for (_, work) in std::mem::take(&mut self.works) {
             let epoch = work.held.epoch;
             let unsent = work.chunk.unsent();
-            let change = change::apply(&self.platform.table, &work.place, None, None, |lane| {
+            let change = change::apply(&self.platform.table, &work.target, None, None, |lane| {
                 lane.release(epoch, until, &unsent)
             })
             .await;
-            if matches!(change, Change::Unsure(_)) {
+            if matches!(change, Resolution::Unknown(_)) {
                 kept = true;
                 continue;
             }
             self.count(|stats| stats.released += 1);
             log::info!("{} job={} epoch={epoch}", event::CHUNK_RELEASED, work.id);
         }
-        // With chunks that could not be given back the lease stays, and others
-        // take them over when it has expired.
-        if self.lease.taken && !kept {
+        // If a chunk could not be released, the lease stays, and other nodes take the chunk over
+        // when it expires.
+        if self.lease.acquired && !kept {
             let row = key::session(&self.lease.session);
             let transaction = Transaction::default().delete(row);
             let _ = self.platform.table.transact(transaction).await;
--- a/src/job/runner/flush.rs
+++ b/src/job/runner/flush.rs
@@ -6,7 +6,7 @@
 use crate::job::{Execute, change, key, record};
 use crate::table::{Store, Table};
 
-/// The state of the log.
+/// State of the log.
 #[derive(Debug, Default)]
 pub(super) struct Flush {
     next: u64,
@@ -14,12 +14,12 @@
     done: Time,
 }
 
-/// What a segment in the store has settled.
+/// The data of a segment that was written.
 pub(super) struct Flushed {
     parts: Vec<Part>,
 }
 
-/// Its part for one chunk.
+/// The part of a segment that belongs to one chunk.
 struct Part {
     work: u64,
     attempts: Vec<Attempt>,
@@ -27,12 +27,12 @@
 }
 
 impl Flush {
-    /// The segment that will be written next.
+    /// Number of the segment to write next.
     pub(super) const fn next(&self) -> u64 {
         self.next
     }
 
-    /// True while a segment is under way.
+    /// Returns true while a segment is being written.
     pub(super) const fn is_busy(&self) -> bool {
         self.busy
     }
@@ -44,8 +44,8 @@
     S: Store + 'static,
     E: Execute + 'static,
 {
-    /// Flushes when the period is over, or at once when an item waits for its
-    /// attempt to be recorded.
+    /// Flushes when the interval has elapsed, or at once if an item waits for its attempt to be
+    /// logged.
     pub(super) fn flush_due(&mut self, now: Time) {
         let urgent = self.works.values().any(|work| work.chunk.is_recording());
         let due = now.since(self.flush.done) >= self.setting.flush_interval;
@@ -79,10 +79,10 @@
         let object = record::encode(&segment);
         let platform = self.platform.clone();
         self.tasks.spawn_local(async move {
-            // The same content under the same name until it is there: the log
-            // must not have a gap, for its reader stops at the first one.
+            // Retries with the same content and name until it is stored: the log must have no gap,
+            // because its reader stops at the first one.
             while let Err(fault) = platform.store.put(&name, object.clone()).await {
-                tokio::time::sleep(change::wait(&fault)).await;
+                tokio::time::sleep(change::retry_after(&fault)).await;
             }
             Event::Flushed(Flushed { parts })
         });
--- a/src/job/runner/lease.rs
+++ b/src/job/runner/lease.rs
@@ -1,4 +1,4 @@
-//! Keeps this holder's lease, and watches those of the others.
+//! Renews the lease of this holder, and observes those of the others.
 
 use std::rc::Rc;
 
@@ -10,9 +10,9 @@
 use crate::name::Name;
 use crate::table::{Expect, Fault, Row, Store, Table, Transaction};
 
-const PREFIX: &str = "session/";
-/// Rows of a page that costs one read.
-const PAGE: usize = 100;
+const SESSION_PREFIX: &str = "session/";
+/// Rows of a page, which costs one read.
+const PAGE_ROWS: usize = 100;
 
 impl<T, S, E> Runner<T, S, E>
 where
@@ -20,12 +20,13 @@
     S: Store + 'static,
     E: Execute + 'static,
 {
-    /// Renews the lease. One row of the node covers all its chunks, and a node
-    /// that holds nothing needs none.
+    /// Renews the lease if it is due. One row covers all chunks of the node, and a node without
+    /// chunks needs no lease.
     pub(super) fn renew_due(&mut self, now: Time) {
         let wanted =
-            !self.works.is_empty() || self.services.values().any(super::Search::is_promising);
-        let due = !self.lease.taken || now.since(self.lease.renewed) >= self.setting.renew_interval;
+            !self.works.is_empty() || self.services.values().any(super::Search::has_claimable);
+        let due =
+            !self.lease.acquired || now.since(self.lease.renewed) >= self.setting.renew_interval;
         if self.lease.renewing || !wanted || !due {
             return;
         }
@@ -35,8 +36,8 @@
         let platform = self.platform.clone();
         let value = now.as_micros().to_le_bytes().to_vec();
         self.tasks.spawn_local(async move {
-            // Only this holder puts the row, and any version but the last one
-            // says that it lives, so neither a lost nor a late answer matters.
+            // Only this holder writes the row, and any new version shows that it is alive, so
+            // neither a lost nor a late answer matters.
             let transaction = Transaction::default().put(row, value);
             Event::Renewed(platform.table.transact(transaction).await.is_ok())
         });
@@ -44,15 +45,15 @@
 
     pub(super) fn renewed(&mut self, done: bool) {
         self.lease.renewing = false;
-        self.lease.taken |= done;
+        self.lease.acquired |= done;
         if !done {
-            // Soon again, but not at once.
+            // Retry soon, but not at once.
             let wait = self.setting.renew_interval / 10;
             self.lease.renewed = (self.now() + wait) - self.setting.renew_interval;
         }
     }
 
-    /// Lists all leases while the index shows chunks of others.
+    /// Lists all leases while the index shows chunks of other holders.
     pub(super) fn list_due(&mut self, now: Time) {
         let session = &self.lease.session;
         let foreign = |search: &super::Search| {
@@ -61,23 +62,23 @@
                 .held()
                 .any(|(_, held)| held.session != *session)
         };
-        let due = now.since(self.due.listed) >= self.setting.lease_duration / 3;
-        if self.due.listing || !due || !self.services.values().any(foreign) {
+        let due = now.since(self.timers.listed) >= self.setting.lease_duration / 3;
+        if self.timers.listing || !due || !self.services.values().any(foreign) {
             return;
         }
-        self.due.listing = true;
-        self.due.listed = now;
+        self.timers.listing = true;
+        self.timers.listed = now;
         let platform = self.platform.clone();
         self.tasks
             .spawn_local(async move { Event::Listed(list(&platform).await) });
     }
 
     pub(super) fn listed(&mut self, list: Result<Vec<(Name, u64)>, Fault>) {
-        self.due.listing = false;
+        self.timers.listing = false;
         let now = self.now();
         match list {
-            Ok(leases) => self.watch.list(now, &leases),
-            Err(_) => self.watch.fail(),
+            Ok(leases) => self.watch.update(now, &leases),
+            Err(_) => self.watch.reset(),
         }
         let stale = self.watch.stale(now).next();
         let Some((session, version)) = stale.map(|(name, version)| (name.clone(), version)) else {
@@ -90,19 +91,18 @@
                 .check(&row, Expect::Version(version))
                 .delete(&row);
             let _ = platform.table.transact(transaction).await;
-            Event::Swept
+            Event::LeaseRemoved
         });
     }
 
-    /// Looks at the rows of the jobs held, for cancellations whose push was
-    /// lost.
+    /// Reads the rows of the jobs held, to detect cancellations whose push was lost.
     pub(super) fn check_due(&mut self, now: Time) {
-        let due = now.since(self.due.checked) >= self.setting.check_interval;
-        if self.due.checking || !due || self.works.is_empty() {
+        let due = now.since(self.timers.checked) >= self.setting.check_interval;
+        if self.timers.checking || !due || self.works.is_empty() {
             return;
         }
-        self.due.checking = true;
-        self.due.checked = now;
+        self.timers.checking = true;
+        self.timers.checked = now;
         let mut ids: Vec<Id> = self.works.values().map(|work| work.id.clone()).collect();
         ids.sort_unstable();
         ids.dedup();
@@ -112,7 +112,7 @@
     }
 
     pub(super) fn checked(&mut self, over: &[Id]) {
-        self.due.checking = false;
+        self.timers.checking = false;
         for id in over {
             self.drop_job(id);
         }
@@ -126,7 +126,10 @@
     let mut leases = Vec::new();
     let mut after = String::new();
     loop {
-        let page = platform.table.scan(PREFIX, &after, PAGE).await?;
+        let page = platform
+            .table
+            .scan(SESSION_PREFIX, &after, PAGE_ROWS)
+            .await?;
         after = page.rows.last().map_or(after, |row| row.key.clone());
         leases.extend(page.rows.iter().filter_map(lease));
         if !page.more {
@@ -136,11 +139,11 @@
 }
 
 fn lease(row: &Row) -> Option<(Name, u64)> {
-    let session = row.key.strip_prefix(PREFIX)?;
+    let session = row.key.strip_prefix(SESSION_PREFIX)?;
     Some((session.into(), row.version))
 }
 
-/// The jobs that are no longer active.
+/// Returns the jobs that were cancelled.
 async fn check<T, S>(platform: &Rc<Platform<T, S>>, ids: Vec<Id>) -> Vec<Id>
 where
     T: Table,
--- a/src/job/runner/work.rs
+++ b/src/job/runner/work.rs
@@ -9,7 +9,7 @@
 
 use super::{Event, Platform, Runner};
 use crate::clock::Time;
-use crate::job::change::{self, Change, Place};
+use crate::job::change::{self, Resolution, Target};
 use crate::job::chunk::Chunk;
 use crate::job::key::Id;
 use crate::job::record::Item;
@@ -19,31 +19,31 @@
 use crate::request::{Answer, Body, Class, Request};
 use crate::table::{Store, Table};
 
-/// Longest that one item may take before the dispatcher gives up on it.
-const ITEM_TIME: Duration = Duration::from_secs(600);
-/// Items marked with one write.
-const MARKS: usize = 64;
+/// Time limit for one item at the dispatcher.
+const ITEM_TIMEOUT: Duration = Duration::from_secs(600);
+/// Most items marked by one write.
+const MAX_MARKS: usize = 64;
 
 /// A held chunk.
 pub(super) struct Work {
     pub(super) id: Id,
-    pub(super) place: Place,
+    pub(super) target: Target,
     pub(super) held: lane::Held,
     pub(super) chunk: Chunk,
     pub(super) phase: Phase,
-    /// Items at endpoints; dropping the work cancels them there.
+    /// Items at endpoints; dropping them cancels them there.
     pub(super) running: BTreeMap<u32, Running>,
 }
 
 impl Work {
-    /// Cancels what runs, for a stop.
+    /// Cancels all running items, for a stop.
     pub(super) fn interrupt(&mut self, now: Time) {
         self.running.clear();
         self.chunk.interrupt(now);
     }
 }
 
-/// What is under way for a chunk besides its items.
+/// Operation in progress for a chunk, besides its items.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
     Idle,
@@ -60,18 +60,18 @@
     }
 }
 
-/// An item that came back.
+/// An item with its outcome.
 pub(super) struct Answered {
     work: u64,
     number: u32,
     outcome: Outcome<Answer>,
 }
 
-/// Marks that were written, or not.
+/// Result of writing marks.
 pub(super) struct Marked {
     work: u64,
     numbers: Vec<u32>,
-    change: Change,
+    change: Resolution,
 }
 
 impl<T, S, E> Runner<T, S, E>
@@ -80,14 +80,17 @@
     S: Store + 'static,
     E: Execute + 'static,
 {
-    /// Sends items of the service, of the earliest due job first.
+    /// Sends items of the service, in order of due times.
     pub(super) fn start_items(&mut self, now: Time, service: &Name) {
         let Some(search) = self.services.get(service) else {
             return;
         };
-        let unseen = search.unseen.clone();
-        let mut room = self.execute.capacity(service).saturating_sub(unseen.get());
-        if self.start_alone(service, &unseen, room) {
+        let unpolled = search.unpolled.clone();
+        let mut room = self
+            .execute
+            .capacity(service)
+            .saturating_sub(unpolled.get());
+        if self.start_isolated(service, &unpolled, room) {
             return;
         }
         for number in self.in_due_order(service) {
@@ -99,56 +102,56 @@
                 let Some(item) = next else {
                     break;
                 };
-                self.send(number, item, &unseen);
+                self.send(number, item, &unpolled);
                 room -= 1;
             }
         }
     }
 
-    /// Sends the item that must run alone, once nothing else of the service
-    /// runs here. Returns true while others have to wait for it.
-    fn start_alone(&mut self, service: &Name, unseen: &Rc<Cell<usize>>, room: usize) -> bool {
+    /// Sends an isolated item once nothing else of the service runs on this node. Returns true
+    /// while other items have to wait for it.
+    fn start_isolated(&mut self, service: &Name, unpolled: &Rc<Cell<usize>>, room: usize) -> bool {
         let works = self
             .works
             .iter()
-            .filter(|(_, work)| work.place.job.service == *service);
-        let mut alone = None;
+            .filter(|(_, work)| work.target.job.service == *service);
+        let mut isolated = None;
         let mut running = 0;
         for (number, work) in works {
             running += work.running.len();
-            alone = alone.or_else(|| work.chunk.next_alone().map(|item| (*number, item)));
+            isolated = isolated.or_else(|| work.chunk.next_isolated().map(|item| (*number, item)));
         }
-        match alone {
+        match isolated {
             Some((work, item)) if running == 0 && room > 0 => {
-                self.send(work, item, unseen);
+                self.send(work, item, unpolled);
                 true
             }
             Some(_) => true,
-            None => self.runs_alone(service),
+            None => self.runs_isolated(service),
         }
     }
 
-    fn runs_alone(&self, service: &Name) -> bool {
+    fn runs_isolated(&self, service: &Name) -> bool {
         let mut works = self
             .works
             .values()
-            .filter(|work| work.place.job.service == *service);
-        works.any(|work| work.chunk.is_running_alone())
+            .filter(|work| work.target.job.service == *service);
+        works.any(|work| work.chunk.is_running_isolated())
     }
 
     pub(super) fn in_due_order(&self, service: &Name) -> Vec<u64> {
         let works = self.works.iter();
         let mut order: Vec<(u64, u64)> = works
             .filter(|(_, work)| {
-                work.place.job.service == *service && work.phase != Phase::Committing
+                work.target.job.service == *service && work.phase != Phase::Committing
             })
-            .map(|(number, work)| (work.place.job.due_at_ms, *number))
+            .map(|(number, work)| (work.target.job.due_at_ms, *number))
             .collect();
         order.sort_unstable();
         order.into_iter().map(|(_, number)| number).collect()
     }
 
-    fn send(&mut self, number: u64, item: u32, unseen: &Rc<Cell<usize>>) {
+    fn send(&mut self, number: u64, item: u32, unpolled: &Rc<Cell<usize>>) {
         let Some(work) = self.works.get_mut(&number) else {
             return;
         };
@@ -157,10 +160,10 @@
         };
         let request = request(work, item, content);
         let execute = self.execute.clone();
-        let unseen = unseen.clone();
-        unseen.set(unseen.get() + 1);
+        let unpolled = unpolled.clone();
+        unpolled.set(unpolled.get() + 1);
         let task = self.tasks.spawn_local(async move {
-            unseen.set(unseen.get() - 1);
+            unpolled.set(unpolled.get() - 1);
             Event::Item(Answered {
                 work: number,
                 number: item,
@@ -171,12 +174,12 @@
         self.count(|stats| stats.sent += 1);
     }
 
-    /// Writes the marks of the items that are sent next, before they are sent.
+    /// Writes the marks of the items to send next, before they are sent.
     pub(super) fn mark_items(&mut self) {
         let wanting = |work: &Work| {
             work.phase == Phase::Idle
-                && work.chunk.is_once()
-                && work.chunk.marked_waiting() < MARKS / 2
+                && work.chunk.is_at_most_once()
+                && work.chunk.marked_waiting() < MAX_MARKS / 2
         };
         let works: Vec<u64> = self
             .works
@@ -193,17 +196,17 @@
         let Some(work) = self.works.get_mut(&number) else {
             return;
         };
-        let numbers = work.chunk.unmarked(MARKS);
+        let numbers = work.chunk.unmarked(MAX_MARKS);
         if numbers.is_empty() {
             return;
         }
         work.phase = Phase::Marking;
-        let place = work.place.clone();
+        let target = work.target.clone();
         let epoch = work.held.epoch;
-        let settled = work.chunk.settled().to_vec();
+        let settled = work.chunk.logged().to_vec();
         let platform = self.platform.clone();
         self.tasks.spawn_local(async move {
-            let change = mark(&platform, &place, epoch, &numbers, &settled).await;
+            let change = mark(&platform, &target, epoch, &numbers, &settled).await;
             Event::Marked(Marked {
                 work: number,
                 numbers,
@@ -218,9 +221,9 @@
         };
         work.phase = Phase::Idle;
         match marked.change {
-            Change::Settled => work.chunk.marked(&marked.numbers),
-            Change::Unsure(_) => {}
-            Change::Lost | Change::Over => self.lose(marked.work),
+            Resolution::Applied => work.chunk.marked(&marked.numbers),
+            Resolution::Unknown(_) => {}
+            Resolution::Superseded | Resolution::Inactive => self.abandon(marked.work),
         }
     }
 
@@ -231,7 +234,7 @@
         };
         work.running.remove(&answered.number);
         work.chunk.ended(now, answered.number, answered.outcome);
-        if work.chunk.is_over() && work.phase == Phase::Idle {
+        if work.chunk.is_finished() && work.phase == Phase::Idle {
             self.commit(answered.work);
         }
     }
@@ -239,33 +242,33 @@
 
 async fn mark<T, S>(
     platform: &Platform<T, S>,
-    place: &Place,
+    target: &Target,
     epoch: u32,
     numbers: &[u32],
     settled: &[u32],
-) -> Change
+) -> Resolution
 where
     T: Table,
 {
-    let change = change::apply(&platform.table, place, None, None, |lane| {
+    let change = change::apply(&platform.table, target, None, None, |lane| {
         lane.mark(epoch, numbers, settled)
     })
     .await;
-    if let Change::Unsure(wait) = change {
+    if let Resolution::Unknown(wait) = change {
         tokio::time::sleep(wait).await;
     }
     change
 }
 
 fn request(work: &Work, number: u32, item: Item) -> Request {
-    let job = &work.place.job;
+    let job = &work.target.job;
     Request {
         service: job.service.clone(),
         organisation: job.organisation.clone(),
         key: format!("{}/{number}", work.id).into(),
         once: job.once,
         class: Class::Batch,
-        time_left: ITEM_TIME,
+        time_left: ITEM_TIMEOUT,
         body: Body::Prompt {
             prompt: item.prompt,
             max_tokens: item.max_tokens,
--- a/src/job/segment.rs
+++ b/src/job/segment.rs
@@ -1,15 +1,14 @@
-//! A holder's log: finished results and recorded attempts, in segments.
+//! A holder's log of finished results and attempts, written in segments.
 //!
-//! One segment of a node covers every chunk that it holds, so that flushing
-//! every few seconds costs one object a node and not one a chunk. Nothing in a
-//! log is readable by callers before its chunk is committed, so a paused holder
-//! that goes on writing its log does no harm.
+//! A segment covers every chunk that the node holds, so that flushing every few seconds costs one
+//! object for each node and not for each chunk. Callers cannot read the results in a log before
+//! their chunk is committed, so a paused holder that continues to write its log does no harm.
 
 use serde::{Deserialize, Serialize};
 
 use super::Reply;
 use super::key;
-use super::lane::Trail;
+use super::lane::LogRange;
 use super::record;
 use crate::name::Name;
 use crate::table::{Fault, Store};
@@ -17,47 +16,51 @@
 /// One object of a log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Segment {
-    /// What it has of each chunk.
+    /// One entry for each chunk.
     pub entries: Vec<Entry>,
 }
 
-/// What a segment has of one chunk.
+/// The part of a segment that belongs to one chunk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     /// Hash of the job.
     pub job: Name,
-    /// Which chunk of it.
+    /// Index of the chunk in the job.
     pub chunk: u32,
     /// Finished results.
     pub replies: Vec<Reply>,
-    /// Items that failed or are about to run alone.
+    /// Attempts of items that failed or are about to run isolated.
     pub attempts: Vec<Attempt>,
 }
 
-/// How often an item has been sent alone. Written before it is sent, so that an
-/// item which takes the whole VM down is counted.
+/// Number of isolated attempts of an item. Written before the item is sent, so that an attempt that
+/// crashes the VM is counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Attempt {
-    /// Which item of the job.
+    /// Number of the item in its job.
     pub number: u32,
-    /// Times it was sent alone, this one included; 0 when it only failed
-    /// together with others so far.
+    /// Isolated attempts, including this one; 0 if the item failed only while others ran.
     pub count: u32,
 }
 
-/// Reads what a stretch of log has of one chunk.
+/// Reads the entries of one chunk from a range of a log.
 ///
 /// # Errors
-/// [`Fault`] when the store can't be read now; nothing may be concluded then.
-pub async fn read<S>(store: &S, trail: &Trail, job: &str, chunk: u32) -> Result<Vec<Entry>, Fault>
+/// [`Fault`] if the store cannot be read; this says nothing about the content.
+pub async fn read<S>(
+    store: &S,
+    trail: &LogRange,
+    job: &str,
+    chunk: u32,
+) -> Result<Vec<Entry>, Fault>
 where
     S: Store,
 {
     let mut found = Vec::new();
     let mut sequence = trail.from;
     while trail.until.is_none_or(|until| sequence < until) {
-        // Segments are written in order and each only after the one before it
-        // is there, so the first absent one is the end.
+        // Segments are written in order, each after the previous one is stored, so the first
+        // missing one is the end.
         let Some(bytes) = store.get(&key::segment(&trail.session, sequence)).await? else {
             break;
         };
--- a/src/job/watch.rs
+++ b/src/job/watch.rs
@@ -1,9 +1,9 @@
-//! Decides which holders may be taken for lost.
+//! Detects holders whose lease has expired.
 //!
-//! Only the observer's own monotonic clock counts: a holder is taken for lost
-//! when its lease's version did not change for as long as the lease lasts. This
-//! is never more than a licence to try; the epoch in the lane's row and the
-//! lease's version in the same transaction keep it safe when it is wrong.
+//! Only the observer's monotonic clock counts: a lease is expired if its version has not changed
+//! for the lease duration. This only permits an attempt to take over. If the verdict is wrong, the
+//! epoch in the lane's row and the check of the lease's version in the same transaction keep the
+//! takeover safe.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,36 +11,36 @@
 use crate::clock::Time;
 use crate::name::Name;
 
-/// Leases unchanged for this many times their length are removed.
+/// Leases unchanged for this many lease durations are removed.
 const STALE_FACTOR: u32 = 20;
 
-/// The leases as one node has watched them.
+/// The leases as observed by one node.
 #[derive(Clone, Debug)]
 pub struct Watch {
     lease: Duration,
     listed: bool,
-    seen: BTreeMap<Name, Seen>,
+    seen: BTreeMap<Name, Observation>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Seen {
+struct Observation {
     version: u64,
     since: Time,
 }
 
-/// How a holder looks.
+/// State of a holder's lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It renews, or was not watched for long enough.
+    /// The lease is renewed, or was not observed for long enough.
     Alive,
-    /// Its lease has had this version for longer than it lasts.
+    /// The lease has had this version for longer than its duration.
     Expired(u64),
-    /// It has given up its lease.
+    /// The lease was removed.
     Gone,
 }
 
 impl Watch {
-    /// Has seen nothing yet.
+    /// Creates a watch without observations.
     pub const fn new(lease: Duration) -> Self {
         Self {
             lease,
@@ -50,7 +50,7 @@
     }
 
     /// Takes the list of all leases with their versions.
-    pub fn list(&mut self, now: Time, leases: &[(Name, u64)]) {
+    pub fn update(&mut self, now: Time, leases: &[(Name, u64)]) {
         let before = std::mem::take(&mut self.seen);
         for (session, version) in leases {
             let since = match before.get(session) {
@@ -58,22 +58,23 @@
                 _ => now,
             };
             let version = *version;
-            self.seen.insert(session.clone(), Seen { version, since });
+            self.seen
+                .insert(session.clone(), Observation { version, since });
         }
         self.listed = true;
     }
 
-    /// The list could not be read.
+    /// Discards all observations after the list could not be read.
     ///
-    /// After an outage every lease looks old, because nobody could renew. If the
-    /// time of the outage counted, each node would take the chunks of all others
-    /// and half the work would be done twice. So watching starts anew.
-    pub fn fail(&mut self) {
+    /// After an outage every lease looks expired, because none could be renewed. If the time of the
+    /// outage counted, each node would take over the chunks of all others, and half the work would
+    /// be done twice.
+    pub fn reset(&mut self) {
         self.seen.clear();
         self.listed = false;
     }
 
-    /// How a holder looks now.
+    /// State of a holder's lease at `now`.
     pub fn verdict(&self, now: Time, session: &str) -> Verdict {
         match self.seen.get(session) {
             None if self.listed => Verdict::Gone,
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Leases whose holders are long gone, for removal.
+    /// Leases that expired long ago, for removal.
     pub fn stale(&self, now: Time) -> impl Iterator<Item = (&Name, u64)> {
         let bound = self.lease * STALE_FACTOR;
         self.seen
--- a/tests/job_accept.rs
+++ b/tests/job_accept.rs
@@ -25,9 +25,8 @@
     });
 }
 
-/// A VM is lost just after it has acknowledged a job. Nothing of the job was in
-/// its memory alone, so other nodes find and finish it; the caller notices
-/// nothing.
+/// A VM is lost just after it acknowledged a job. The job is not only in its memory, so other nodes
+/// find and finish it without the caller noticing.
 #[gtest]
 fn submit_then_loss_of_the_node() {
     run(async {
@@ -40,8 +39,8 @@
     });
 }
 
-/// A client believes its job lost and sends it again, to another node, at the
-/// same moment. With two jobs every recipe would come back twice.
+/// A client resubmits a job to several nodes at the same moment. If two jobs were accepted, every
+/// item would run twice.
 #[gtest]
 fn submit_resent_concurrently() {
     run(async {
@@ -70,8 +69,8 @@
     });
 }
 
-/// Two jobs are given the same key by mistake. If the second were taken for the
-/// first, its items would never run and nobody would know.
+/// Two different jobs have the same key by mistake. If the second were taken for a resubmission of
+/// the first, its items would silently never run.
 #[gtest]
 fn submit_other_content_under_the_same_key() {
     run(async {
@@ -91,8 +90,8 @@
     });
 }
 
-/// The platform's answer to the registration is lost after it took effect. Said
-/// to be refused, the caller would choose a new key and have the job run twice.
+/// The platform's answer to the registration is lost after it took effect. If the job were reported
+/// as refused, the caller would choose a new key and run it twice.
 #[gtest]
 fn submit_lost_answer() {
     run(async {
@@ -112,8 +111,8 @@
     });
 }
 
-/// The platform is down. A job that is said to be accepted would exist nowhere;
-/// the caller has to be told that it is not, and when to come back.
+/// During an outage of the platform no job can be stored, so a submission must be refused as not
+/// run, with a retry delay.
 #[gtest]
 fn submit_during_an_outage() {
     run(async {
@@ -139,9 +138,8 @@
     });
 }
 
-/// The largest job has 821 objects, and the platform takes 200 writes a second.
-/// If a refusal by that limit ended the submission, such a job could never be
-/// accepted.
+/// The largest job has 821 objects, and the platform accepts 200 writes a second. If a refusal by
+/// that limit ended the submission, such a job could never be accepted.
 #[gtest]
 fn submit_large_job_under_the_write_limit() {
     run(async {
@@ -157,7 +155,7 @@
     });
 }
 
-/// Mistakes of the caller are told at once and cost the platform nothing.
+/// Invalid submissions are refused at once, without a write to the platform.
 #[gtest]
 fn submit_invalid() {
     run(async {
--- a/tests/job_budget.rs
+++ b/tests/job_budget.rs
@@ -1,8 +1,8 @@
-//! The table's and the store's budget, as bounds on counts.
+//! Budget of the table and the store, as bounds on request counts.
 //!
-//! The platform bears several hundred writes and about two thousand reads a
-//! second for everything. docs/design/batch.md works out from these bounds what
-//! 74 million items a day in 88,000 jobs cost.
+//! The platform handles several hundred writes and about two thousand reads a second in total.
+//! docs/design/batch.md derives from these bounds the cost of 74 million items a day in 88,000
+//! jobs.
 
 use std::time::Duration;
 
@@ -17,8 +17,7 @@
 #[path = "job_support/fleet.rs"]
 mod fleet;
 
-/// What one job of that many items costs a fleet of three nodes, without the
-/// periodic work of its holders.
+/// Cost of one job with that many items on three nodes, without the periodic work of holders.
 async fn cost(count: u32, once: bool) -> (Counts, Fleet, Id) {
     let mut fleet = Fleet::new(1, 3);
     fleet.pass(Duration::from_secs(10)).await;
@@ -36,8 +35,8 @@
     counts.by_prefix.get(prefix).map_or(0, |used| used.writes)
 }
 
-/// A job of 50 items: 2 rows to accept, 1 to claim, 3 to commit and end; one
-/// object in and one out.
+/// A job of 50 items: 2 rows to accept, 1 to claim, 3 to commit and end; one object with items and
+/// one with results.
 #[gtest]
 fn writes_of_a_small_job() {
     run(async {
@@ -62,7 +61,7 @@
     });
 }
 
-/// A job of 100,000 items in chunks of 512: two rows a chunk, and two objects.
+/// A job of 100,000 items in chunks of 512: two rows and two objects for each chunk.
 #[gtest]
 fn writes_of_a_large_job() {
     run(async {
@@ -75,7 +74,7 @@
         expect_that!(writes(&counts, "replies"), eq(chunks));
         let claimed: u64 = fleet.claimed();
         expect_that!(claimed, eq(chunks));
-        // Claims of three nodes rarely meet.
+        // Claims of three nodes rarely conflict.
         expect_that!(counts.conflicts, le(chunks / 10));
         // Reads: a page, a job and the items for a claim; a lane for a commit.
         let polls = 3 * fleet.elapsed().as_secs() * 2;
@@ -83,8 +82,8 @@
     });
 }
 
-/// What a holder writes by the clock: its lease each 10 s and a segment each 5 s,
-/// however many chunks it holds.
+/// Periodic writes of a holder: its lease every 10 s and a segment every 5 s, however many chunks
+/// it holds.
 #[gtest]
 fn writes_of_a_holder() {
     run(async {
@@ -110,7 +109,7 @@
     });
 }
 
-/// Marks of items that must run at most once go 64 to a write.
+/// Marks of items that must run at most once are written 64 at a time.
 #[gtest]
 fn writes_of_marks() {
     run(async {
@@ -121,7 +120,7 @@
     });
 }
 
-/// Nothing to do: an idle node reads one page of each service every 2 s.
+/// An idle node reads one page of each service every 2 s.
 #[gtest]
 fn reads_of_an_idle_node() {
     run(async {
@@ -133,7 +132,7 @@
     });
 }
 
-/// A status costs at most three reads, whatever the job's size.
+/// A status request costs at most three reads, whatever the job's size.
 #[gtest]
 fn reads_of_a_status() {
     run(async {
@@ -145,8 +144,8 @@
     });
 }
 
-/// Many claimers look at the same few lanes at the same moment. If all tried the
-/// same row, the table's writes would go into refused claims.
+/// Many nodes claim from the same few lanes at the same moment. If all tried the same row, most
+/// writes would be refused claims.
 #[gtest]
 fn claims_of_many_nodes_rarely_collide() {
     run(async {
@@ -159,8 +158,8 @@
     });
 }
 
-/// Work done twice after the loss of a VM is what was not flushed and what ran,
-/// so that the flush period buys it.
+/// After the loss of a VM, the work done twice is what was not flushed and what was running, so it
+/// is bounded by the flush interval.
 #[gtest]
 fn redone_against_the_flush_period() {
     run(async {
@@ -171,7 +170,7 @@
                 fleet.setting.flush_interval = Duration::from_secs(seconds);
                 fleet.add();
                 let id = fleet.submit(&submission("menu", items(128))).await;
-                // 128 items take 16 rounds of a second; each loss falls elsewhere.
+                // 128 items take 16 rounds of a second; each seed places the loss in another round.
                 let sent = 40 + usize::try_from(seed).unwrap_or(0) * 7;
                 fleet
                     .until(|fleet| fleet.world.borrow().runs.len() >= sent)
@@ -189,7 +188,7 @@
     });
 }
 
-/// What a held chunk keeps in memory is its prompts and results.
+/// A held chunk keeps its prompts and results in memory.
 #[gtest]
 fn memory_of_a_held_chunk() {
     let (_, held) = Lane::new(0, 1).claim(&"node".into(), 0).expect("free");
--- a/tests/job_cancel.rs
+++ b/tests/job_cancel.rs
@@ -1,4 +1,4 @@
-//! A cancelled job stops, and everybody sees the same end of it.
+//! A cancelled job stops, and every reader sees the same final state.
 
 use std::time::Duration;
 
@@ -25,9 +25,8 @@
     }
 }
 
-/// A planner cancels a job whose recipes are wrong. Every item that starts
-/// afterwards takes a slot from the right ones. The push to the holders is lost
-/// here, so only their own look at the job's row stops them.
+/// After a cancellation every item that still starts wastes a slot. The push to the holders is lost
+/// here, so only their own check of the job's row stops them.
 #[gtest]
 fn cancel_stops_within_the_check_period() {
     run(async {
@@ -49,7 +48,7 @@
             late,
             le(fleet.setting.check_interval + Duration::from_millis(200))
         );
-        // What ran was broken off at the endpoints.
+        // Running items were cancelled at the endpoints.
         expect_that!(fleet.world.borrow().cancelled, ge(8));
         expect_that!(
             fleet.nodes.values().all(|node| node.running.get() == 0),
@@ -58,7 +57,7 @@
     });
 }
 
-/// With the push, no item starts after it has arrived.
+/// After the push has arrived, no further item starts.
 #[gtest]
 fn cancel_pushed_stops_at_once() {
     run(async {
@@ -81,8 +80,8 @@
     });
 }
 
-/// What was readable before the cancellation stays so; the rest says that it
-/// was cancelled, and never gets another result.
+/// Results that were readable before the cancellation stay. All other items are reported as
+/// cancelled and never get another result.
 #[gtest]
 fn cancel_keeps_what_was_readable() {
     run(async {
@@ -115,8 +114,8 @@
     });
 }
 
-/// No node is there to meet the lanes of the cancelled job. Left in the index,
-/// they would be read again by everyone who looks for work.
+/// No node finds the lanes of the cancelled job. If they stayed in the index, every node that looks
+/// for work would read them again.
 #[gtest]
 fn cancel_clears_the_index() {
     run(async {
@@ -131,8 +130,8 @@
     });
 }
 
-/// The node that cancels is lost before it has cleared the index. Whoever meets
-/// a lane of the job takes it out, and claims nothing of it.
+/// The node that cancels is lost before it has removed the lanes from the index. A node that finds
+/// such a lane removes it and claims nothing from it.
 #[gtest]
 fn cancel_then_loss_of_the_node() {
     run(async {
@@ -150,9 +149,8 @@
     });
 }
 
-/// The cancellation meets the commit of the last chunk. If some saw the job
-/// ended and others cancelled, a kitchen would cook what its planner withdrew.
-/// Each tenth of a millisecond around the commit is tried.
+/// The cancellation races the commit of the last chunk. All readers must agree on whether the job
+/// ended or was cancelled. Each fifth of a millisecond around the commit is tried.
 #[gtest]
 fn cancel_races_the_last_commit() {
     run(async {
@@ -190,13 +188,17 @@
                 State::Active => panic!("neither ended nor cancelled"),
             }
         }
-        expect_that!(ended, ge(10), "the race was won by the commit at times");
-        expect_that!(cancelled, ge(10), "and by the cancellation at times");
+        expect_that!(ended, ge(10), "the commit wins the race in some runs");
+        expect_that!(
+            cancelled,
+            ge(10),
+            "the cancellation wins the race in some runs"
+        );
     });
 }
 
-/// The platform is down when a planner cancels. Said to be cancelled, the job
-/// would go on and nobody would look.
+/// During an outage of the platform a cancellation must be refused. If it were reported as done,
+/// the job would continue unnoticed.
 #[gtest]
 fn cancel_during_an_outage() {
     run(async {
@@ -220,8 +222,8 @@
     });
 }
 
-/// The answer to the cancellation is lost, with and without having taken
-/// effect. It is read back, so that the caller is told what holds.
+/// The answer to the cancellation is lost, with and without having taken effect. The row is read
+/// back, so that the caller gets the actual state.
 #[gtest]
 fn cancel_lost_answer() {
     run(async {
--- a/tests/job_commit.rs
+++ b/tests/job_commit.rs
@@ -1,15 +1,14 @@
-//! Handing a finished chunk over in one phase against two, on the stand-in.
+//! Compares one-phase and two-phase commit of a finished chunk, on the stand-in platform.
 //!
-//! The related paper commits in one phase because whoever recovers can read the
-//! worker's log on shared, fenced storage. Here the lane's row is that storage
-//! and the epoch is the fence. docs/design/commit.md takes its figures from
-//! `cargo test --test job_commit -- --nocapture`.
+//! The related paper commits in one phase because the recovering node can read the worker's log on
+//! shared, fenced storage. Here the lane's row is that storage and the epoch is the fence.
+//! docs/design/commit.md takes its figures from `cargo test --test job_commit -- --nocapture`.
 
 use std::time::Duration;
 
 use auburnspoke::clock::Time;
-use auburnspoke::job::change::{self, Change, Place};
-use auburnspoke::job::lane::{Committed, Lane, Step};
+use auburnspoke::job::change::{self, Resolution, Target};
+use auburnspoke::job::lane::{Committed, Decision, Lane};
 use auburnspoke::job::record::{self, Counts, Job};
 use auburnspoke::job::{Jobs, State};
 use auburnspoke::outcome::Outcome;
@@ -23,12 +22,12 @@
 #[path = "job_support/fleet.rs"]
 mod fleet;
 
-/// One way between two nodes of a zone.
+/// One-way latency between two nodes of a zone.
 const MESSAGE: Duration = Duration::from_millis(1);
-/// Hand-overs that each figure is the mean of.
+/// Number of commits over which each figure is the mean.
 const RUNS: u64 = 200;
 
-/// What a hand-over cost.
+/// Cost of a commit.
 #[derive(Clone, Copy, Debug, Default)]
 struct Cost {
     rows: u64,
@@ -38,11 +37,11 @@
     time: Duration,
 }
 
-/// A chunk whose results are ready, and its holder.
+/// A chunk whose results are ready to commit.
 struct Ready {
     platform: Platform,
     remote: Remote,
-    place: Place,
+    target: Target,
     committed: Committed,
 }
 
@@ -57,17 +56,17 @@
     let row = Table::get(&platform, &accepted.job.row()).await;
     let row = row.expect("answers").expect("there");
     let job: Job = record::decode(&row.value).expect("a job");
-    let place = Place {
+    let target = Target {
         job,
         version: row.version,
         lane: 0,
     };
     let claim = |lane: &Lane| match lane.claim(&"holder".into(), 0) {
-        Some((lane, _)) => Step::Write(lane),
-        None => Step::Lost,
+        Some((lane, _)) => Decision::Write(lane),
+        None => Decision::Superseded,
     };
-    let claimed = change::apply(&platform, &place, None, None, claim).await;
-    assert_eq!(claimed, Change::Settled);
+    let claimed = change::apply(&platform, &target, None, None, claim).await;
+    assert_eq!(claimed, Resolution::Applied);
     let committed = Committed {
         chunk: 0,
         epoch: 1,
@@ -79,38 +78,39 @@
     Ready {
         platform,
         remote,
-        place,
+        target,
         committed,
     }
 }
 
 impl Ready {
     async fn results(&self) {
-        let name = self.place.job.id().replies(0, 1);
+        let name = self.target.job.id().replies(0, 1);
         let stored = self.remote.put(&name, "results".into()).await;
         stored.expect("answers");
     }
 
-    async fn lane(&self) -> Change {
-        change::apply(&self.remote, &self.place, None, None, |lane| {
+    async fn lane(&self) -> Resolution {
+        change::apply(&self.remote, &self.target, None, None, |lane| {
             lane.commit(self.committed)
         })
         .await
     }
 
-    /// The product's way: results, then the conditional change that decides.
+    /// One-phase commit as in the product: store the results, then apply the conditional change
+    /// that decides.
     async fn one_phase(&self, steps: usize) {
         if steps > 0 {
             self.results().await;
         }
         if steps > 1 {
-            assert_eq!(self.lane().await, Change::Settled);
+            assert_eq!(self.lane().await, Resolution::Applied);
         }
     }
 
-    /// Two phases with a coordinator that has a log of its own: the holder is
-    /// asked to prepare and logs that it did, the coordinator logs its decision,
-    /// the holder applies it, and the log is ended.
+    /// Two-phase commit with a coordinator that has its own log: the holder is asked to prepare and
+    /// logs it, the coordinator logs its decision, the holder applies it, and the log entries are
+    /// removed.
     async fn two_phases(&self, steps: usize) -> u64 {
         let prepared = "prepared/lane/0";
         let decision = "decision/lane/0";
@@ -136,7 +136,7 @@
         if steps > 2 {
             sleep(MESSAGE).await; // commit
             messages += 1;
-            assert_eq!(self.lane().await, Change::Settled);
+            assert_eq!(self.lane().await, Resolution::Applied);
             sleep(MESSAGE).await; // acknowledge
             messages += 1;
         }
@@ -147,7 +147,7 @@
         messages
     }
 
-    /// Chunks that are committed, and log rows that somebody has to look after.
+    /// Number of committed chunks, and of log rows that need recovery.
     async fn left(&self) -> (usize, usize) {
         let mut rows = Vec::new();
         for prefix in ["open/", "lane/"] {
@@ -221,9 +221,9 @@
     });
 }
 
-/// The holder dies between two steps. In one phase there is nothing to be found
-/// and decided afterwards: the chunk is committed or it is held by a holder whose
-/// lease expires. In two, rows are left that say that something was begun.
+/// The holder dies between two steps. With one phase there is nothing to recover: the chunk is
+/// either committed or held by a holder whose lease expires. With two phases, log rows of an
+/// unfinished commit are left behind.
 #[gtest]
 fn death_between_steps_of_one_phase() {
     run(async {
@@ -249,31 +249,31 @@
             println!("two phases, death after step {steps}: committed {committed}, logs {logs}");
             undecided += usize::from(logs > 0);
         }
-        expect_that!(undecided, eq(3), "states that somebody has to recover");
+        expect_that!(undecided, eq(3), "states that need recovery");
     });
 }
 
-/// A holder that died after its results were stored, and before the commit, leaves
-/// an object that nobody names. The next holder's has another name.
+/// A holder that dies after it stored its results, and before the commit, leaves an object that no
+/// row refers to. The next holder writes an object with another name.
 #[gtest]
 fn death_leaves_the_job_able_to_end() {
     run(async {
         let ready = ready(9).await;
         ready.one_phase(1).await;
         let take = |lane: &Lane| match lane.take_over(1, &"next".into(), 0) {
-            Some((lane, _)) => Step::Write(lane),
-            None => Step::Lost,
+            Some((lane, _)) => Decision::Write(lane),
+            None => Decision::Superseded,
         };
-        let taken = change::apply(&ready.platform, &ready.place, None, None, take).await;
-        expect_that!(taken, eq(&Change::Settled));
-        expect_that!(ready.lane().await, eq(&Change::Lost));
+        let taken = change::apply(&ready.platform, &ready.target, None, None, take).await;
+        expect_that!(taken, eq(&Resolution::Applied));
+        expect_that!(ready.lane().await, eq(&Resolution::Superseded));
         let next = Committed {
             epoch: 2,
             ..ready.committed
         };
         let commit = |lane: &Lane| lane.commit(next);
-        let change = change::apply(&ready.platform, &ready.place, None, None, commit).await;
-        expect_that!(change, eq(&Change::Settled));
-        expect_that!(ready.place.job.state, eq(State::Active));
+        let change = change::apply(&ready.platform, &ready.target, None, None, commit).await;
+        expect_that!(change, eq(&Resolution::Applied));
+        expect_that!(ready.target.job.state, eq(State::Active));
     });
 }
--- a/tests/job_exactly_once.rs
+++ b/tests/job_exactly_once.rs
@@ -12,9 +12,9 @@
 #[path = "job_support/fleet.rs"]
 mod fleet;
 
-/// Something that goes wrong in the fleet of the random test.
+/// A failure injected by the random test.
 #[derive(Clone, Debug)]
-enum Trouble {
+enum Failure {
     Kill(usize),
     Stop(usize),
     Freeze(usize, u64),
@@ -29,44 +29,44 @@
     },
 }
 
-fn trouble() -> impl Strategy<Value = (u64, Trouble)> {
+fn failure() -> impl Strategy<Value = (u64, Failure)> {
     let which = prop_oneof![
-        3 => (0usize..8).prop_map(Trouble::Kill),
-        1 => (0usize..8).prop_map(Trouble::Stop),
-        3 => (0usize..8, 10u64..90_000).prop_map(|(node, ms)| Trouble::Freeze(node, ms)),
+        3 => (0usize..8).prop_map(Failure::Kill),
+        1 => (0usize..8).prop_map(Failure::Stop),
+        3 => (0usize..8, 10u64..90_000).prop_map(|(node, ms)| Failure::Freeze(node, ms)),
         1 => (10u64..90_000, any::<bool>())
-            .prop_map(|(ms, silent)| Trouble::Outage { ms, silent }),
+            .prop_map(|(ms, silent)| Failure::Outage { ms, silent }),
         2 => (0.05f64..0.7, 0.0f64..1.0, 10u64..60_000)
-            .prop_map(|(probability, before, ms)| Trouble::Lose { probability, before, ms }),
+            .prop_map(|(probability, before, ms)| Failure::Lose { probability, before, ms }),
     ];
     (0u64..20_000, which)
 }
 
 impl Fleet {
-    /// Brings a trouble about, and replaces VMs that are lost.
-    async fn suffer(&mut self, trouble: &Trouble) {
+    /// Injects a failure, and replaces lost VMs.
+    async fn inject(&mut self, failure: &Failure) {
         let nodes: Vec<usize> = self.nodes.keys().copied().collect();
         let pick = |at: usize| nodes[at % nodes.len()];
-        match trouble {
-            Trouble::Kill(at) => {
+        match failure {
+            Failure::Kill(at) => {
                 self.kill(pick(*at));
                 self.add();
             }
-            Trouble::Stop(at) => {
+            Failure::Stop(at) => {
                 self.stop(pick(*at));
                 self.add();
             }
-            Trouble::Freeze(at, ms) => {
+            Failure::Freeze(at, ms) => {
                 let node = pick(*at);
                 self.freeze(node, true);
                 self.pass(Duration::from_millis(*ms)).await;
                 self.freeze(node, false);
             }
-            Trouble::Outage { ms, silent } => self.command(&Command::Outage {
+            Failure::Outage { ms, silent } => self.command(&Command::Outage {
                 ms: Some(*ms),
                 silent: *silent,
             }),
-            Trouble::Lose {
+            Failure::Lose {
                 probability,
                 before,
                 ms,
@@ -88,14 +88,13 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 48, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// VMs are lost, stopped and paused past their leases, the platform fails
-    /// and loses answers, in any order and together. A recipe that is missing
-    /// leaves a kitchen without its sheet, and one whose result changes after it
-    /// was read has been answered twice.
+    /// VMs are lost, stopped and paused past their leases, and the platform fails and loses
+    /// answers, in any order and combination. No item may be without a result, and no result may
+    /// change after it was read.
     #[test]
-    fn job_ends_whole_under_random_troubles(
+    fn job_completes_under_random_failures(
         seed in any::<u64>(),
-        troubles in prop::collection::vec(trouble(), 1..8),
+        failures in prop::collection::vec(failure(), 1..8),
         count in 1u32..700,
         once in any::<bool>(),
     ) {
@@ -104,9 +103,9 @@
             let mut wanted = submission("menu", items(count));
             wanted.once = once;
             let id = fleet.submit(&wanted).await;
-            for (wait, trouble) in &troubles {
+            for (wait, failure) in &failures {
                 fleet.pass(Duration::from_millis(*wait)).await;
-                fleet.suffer(trouble).await;
+                fleet.inject(failure).await;
                 fleet.read(&id).await;
             }
             fleet.add();
@@ -122,16 +121,16 @@
             } else {
                 assert!(replies.iter().all(|reply| reply.end == End::Done));
             }
-            // What late and thawed holders still do must change nothing.
+            // Delayed and resumed holders must not change anything.
             fleet.pass(Duration::from_secs(300)).await;
             fleet.read(&id).await;
         });
     }
 }
 
-/// A VM is lost at any moment of a chunk's life: while it claims, sends,
-/// flushes, commits, or just after. Each millisecond and a half of the first
-/// seconds is tried, so that every answer the platform owes is lost once.
+/// A VM is lost at any moment of a chunk's life: while it claims, sends, flushes, commits, or just
+/// after. Losses are tried every 1.5 ms over the first seconds, so that every answer of the
+/// platform is lost once.
 #[gtest]
 fn kill_at_each_step() {
     run(async {
@@ -153,9 +152,8 @@
     });
 }
 
-/// A holder is frozen past its lease, another finishes its chunk, and then the
-/// first thaws with its own results in hand. If it could still commit, results
-/// that a planner has read would change.
+/// A holder is paused past its lease, another finishes its chunk, and then the first resumes with
+/// its own results. If it could still commit, results that were read would change.
 #[gtest]
 fn freeze_past_the_lease() {
     run(async {
@@ -179,9 +177,8 @@
     });
 }
 
-/// The same, but the holder thaws while other chunks of the lane are still open,
-/// so that the lane's row is there to be changed. Its commit must be refused for
-/// its epoch alone.
+/// As above, but the holder resumes while other chunks of the lane are open, so the lane's row
+/// still exists. Its commit must be refused because of its epoch.
 #[gtest]
 fn freeze_and_thaw_before_the_job_ends() {
     run(async {
@@ -210,10 +207,9 @@
     });
 }
 
-/// The answer to a claim is lost, and the platform goes down before it can be
-/// asked what became of it. The row says that this node has the chunk and the
-/// node does not know it: nobody would ever run it, for the node lives and renews
-/// its lease.
+/// The answer to a claim is lost, and an outage begins before the node can read the row back. The
+/// row names this node as the holder, but the node does not run the chunk. Since it is alive and
+/// renews its lease, no other node would ever take the chunk over.
 #[gtest]
 fn lost_answer_and_outage_at_once() {
     run(async {
@@ -226,8 +222,7 @@
                 before: false,
             });
             fleet.add();
-            // Looked at often, so that the outage begins before the row can be
-            // read back.
+            // Checked often, so that the outage begins before the row can be read back.
             for _ in 0..60_000 {
                 if fleet.platform.counts().lost > 0 {
                     break;
@@ -246,10 +241,9 @@
     });
 }
 
-/// The platform is down for an hour with chunks held. The work goes on, is
-/// committed when the platform is back, and nobody else does it again: nodes
-/// that took the outage for the death of all others would double the load at
-/// the worst moment.
+/// The platform is down for an hour while chunks are held. Holders continue, and commit when the
+/// platform is back. If nodes took the outage for the death of all others, they would repeat their
+/// work and double the load.
 #[gtest]
 fn outage_with_chunks_held() {
     run(async {
@@ -273,9 +267,9 @@
     });
 }
 
-/// Each kind of write loses its answers, with and without having taken effect,
-/// three times in a row. Taken for a failure, a commit would be redone by
-/// another; taken for a success, its items would be missing.
+/// Each kind of write loses its answer three times in a row, with and without having taken effect.
+/// If that counted as a failure, a commit would be repeated by another node; if it counted as a
+/// success, items would be missing.
 #[gtest]
 fn lost_answers_on_every_kind_of_write() {
     run(async {
@@ -303,8 +297,8 @@
     });
 }
 
-/// A node is stopped in order while it holds chunks. Others go on at once with
-/// what it had: nothing is lost, and nothing is done twice.
+/// A node is stopped gracefully while it holds chunks. Other nodes continue from its results at
+/// once: nothing is lost or done twice.
 #[gtest]
 fn stop_gives_chunks_back() {
     run(async {
@@ -325,8 +319,8 @@
     });
 }
 
-/// A VM is lost with most of a chunk done. What was flushed is not done again:
-/// at most the work of one flush period and what ran is.
+/// A VM is lost with most of a chunk done. Results that were flushed are not redone: at most the
+/// work of one flush interval and the running items are.
 #[gtest]
 fn loss_redoes_seconds_of_work() {
     run(async {
@@ -340,7 +334,7 @@
         assert_eq!(fleet.finish(&id).await, State::Ended);
         assert_whole(&fleet.read(&id).await, 128);
         let redone = fleet.world.borrow().runs.len() - 128;
-        // Eight slots at 0.4 s an item do 20 items a second, for 5 s, and 8 ran.
+        // Eight slots at 0.4 s an item do 20 items a second, over 5 s, plus 8 running.
         expect_that!(redone, le(108));
         let replies = fleet.read(&id).await;
         expect_that!(replies.iter().all(|reply| reply.end == End::Done), eq(true));
--- a/tests/job_lane.rs
+++ b/tests/job_lane.rs
@@ -1,12 +1,12 @@
-//! A lane's row and a chunk's items, as decisions.
+//! Decisions on a lane's row and a chunk's items.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use auburnspoke::clock::Time;
-use auburnspoke::job::change::{self, Change, Place};
+use auburnspoke::job::change::{self, Resolution, Target};
 use auburnspoke::job::chunk::Chunk;
-use auburnspoke::job::lane::{Committed, Held, Lane, Step};
+use auburnspoke::job::lane::{Committed, Decision, Held, Lane};
 use auburnspoke::job::record::{self, Counts, Job};
 use auburnspoke::job::watch::{Verdict, Watch};
 use auburnspoke::job::{End, State, key};
@@ -31,31 +31,37 @@
     }
 }
 
-/// A holder that was paused comes back when another has its chunk, and again when
-/// that one has committed it.
+/// A paused holder resumes after another has taken over its chunk, and again after that one has
+/// committed it.
 #[gtest]
 fn commit_stale_epoch() {
     let lane = Lane::new(0, 2);
     let (lane, old) = lane.claim(&"old".into(), 0).expect("free");
     let (lane, new) = lane.take_over(old.epoch, &"new".into(), 0).expect("held");
-    expect_that!(lane.commit(committed(0, old.epoch)), eq(&Step::Lost));
-    let Step::Write(lane) = lane.commit(committed(0, new.epoch)) else {
+    expect_that!(
+        lane.commit(committed(0, old.epoch)),
+        eq(&Decision::Superseded)
+    );
+    let Decision::Write(lane) = lane.commit(committed(0, new.epoch)) else {
         panic!("the holder commits");
     };
-    expect_that!(lane.commit(committed(0, old.epoch)), eq(&Step::Lost));
-    expect_that!(lane.commit(committed(0, new.epoch)), eq(&Step::Already));
-    expect_that!(lane.is_over(), eq(false));
+    expect_that!(
+        lane.commit(committed(0, old.epoch)),
+        eq(&Decision::Superseded)
+    );
+    expect_that!(lane.commit(committed(0, new.epoch)), eq(&Decision::Applied));
+    expect_that!(lane.is_finished(), eq(false));
 }
 
 #[gtest]
-fn take_over_counts_losses_and_keeps_the_trail() {
+fn take_over_counts_losses_and_keeps_log_ranges() {
     let lane = Lane::new(0, 1);
     let (lane, first) = lane.claim(&"a".into(), 7).expect("free");
     let (lane, second) = lane.take_over(first.epoch, &"b".into(), 3).expect("held");
     expect_that!(second.losses, eq(1));
     expect_that!(second.trails[0].from, eq(7));
     expect_that!(second.trails[0].until, none());
-    let Step::Write(lane) = lane.release(second.epoch, 9, &[]) else {
+    let Decision::Write(lane) = lane.release(second.epoch, 9, &[]) else {
         panic!("the holder releases");
     };
     let (_, third) = lane.claim(&"c".into(), 0).expect("freed");
@@ -63,8 +69,8 @@
     expect_that!(third.trails[1].until, some(eq(9)));
 }
 
-/// A lease was renewed after it was seen to be expired. Its holder lives, so its
-/// chunk must be left to it or the work is done twice.
+/// A lease is renewed after it was seen to be expired. Its holder is alive, so taking its chunk
+/// over would do the work twice.
 #[gtest]
 fn take_over_of_a_renewed_lease() {
     run(async {
@@ -77,7 +83,7 @@
         };
         let row = remote_row(&platform, &accepted.job.row()).await;
         let job: Job = record::decode(&row.1).expect("a job");
-        let place = Place {
+        let target = Target {
             job,
             version: row.0,
             lane: 0,
@@ -86,19 +92,19 @@
         let renew = || Transaction::default().put(&lease, "renewed");
         let version = platform.transact(renew()).await.expect("answers");
         let claim = |lane: &Lane| match lane.claim(&"old".into(), 0) {
-            Some((lane, _)) => Step::Write(lane),
-            None => Step::Lost,
+            Some((lane, _)) => Decision::Write(lane),
+            None => Decision::Superseded,
         };
-        let change = change::apply(&platform, &place, None, None, claim).await;
-        expect_that!(change, eq(&Change::Settled));
+        let change = change::apply(&platform, &target, None, None, claim).await;
+        expect_that!(change, eq(&Resolution::Applied));
         let take = |lane: &Lane| match lane.take_over(1, &"new".into(), 0) {
-            Some((lane, _)) => Step::Write(lane),
-            None => Step::Lost,
+            Some((lane, _)) => Decision::Write(lane),
+            None => Decision::Superseded,
         };
         platform.transact(renew()).await.expect("answers");
         let guard = change::guard("old", Some(version));
-        let change = change::apply(&platform, &place, None, Some(&guard), take).await;
-        expect_that!(change, eq(&Change::Lost));
+        let change = change::apply(&platform, &target, None, Some(&guard), take).await;
+        expect_that!(change, eq(&Resolution::Superseded));
     });
 }
 
@@ -114,16 +120,16 @@
 fn watch_expires_by_the_observers_clock() {
     let mut watch = Watch::new(Duration::from_secs(30));
     let at = |seconds: u64| Time::from_millis(seconds * 1_000);
-    watch.list(at(0), &[("a".into(), 1), ("b".into(), 1)]);
-    watch.list(at(31), &[("a".into(), 1), ("b".into(), 2)]);
+    watch.update(at(0), &[("a".into(), 1), ("b".into(), 1)]);
+    watch.update(at(31), &[("a".into(), 1), ("b".into(), 2)]);
     expect_that!(watch.verdict(at(31), "a"), eq(Verdict::Expired(1)));
     expect_that!(watch.verdict(at(31), "b"), eq(Verdict::Alive));
     expect_that!(watch.verdict(at(31), "c"), eq(Verdict::Gone));
-    watch.fail();
+    watch.reset();
     expect_that!(watch.verdict(at(99), "a"), eq(Verdict::Alive));
 }
 
-/// What one of several holders does next, and what becomes of its answer.
+/// The next action of one of several holders.
 #[derive(Clone, Debug)]
 enum Move {
     Claim,
@@ -132,7 +138,7 @@
     Release(usize),
     /// It reads the row again.
     Look,
-    /// It is lost, and started again with another session.
+    /// It is lost, and restarts with another session.
     Crash,
 }
 
@@ -148,7 +154,7 @@
     (0usize..3, next, any::<bool>())
 }
 
-/// A holder with what it believes.
+/// A holder with its copy of the row and the chunks that it considers held.
 struct Holder {
     session: Name,
     seen: (u64, Lane),
@@ -158,9 +164,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Holders act on rows that they read long ago, are lost at any step, and
-    /// lose answers. However they meet, each chunk is committed once and its
-    /// commit never changes, and no two believe rightly in the same chunk.
+    /// Holders act on outdated rows, are lost at any step, and lose answers. In any interleaving
+    /// each chunk is committed once, its commit never changes, and no chunk has two valid holders.
     #[test]
     fn lane_commits_each_chunk_once(moves in prop::collection::vec(moves(), 1..200), chunks in 1u32..5) {
         let mut row = (1u64, Lane::new(0, chunks));
@@ -208,7 +213,7 @@
                 Move::Commit(at) => {
                     let Some(held) = me.held.get(at).cloned() else { continue };
                     let result = committed(held.chunk, held.epoch);
-                    if let Step::Write(lane) = me.seen.1.commit(result) {
+                    if let Decision::Write(lane) = me.seen.1.commit(result) {
                         let fits = write(&me.seen, lane);
                         if fits && !lost {
                             me.held.remove(at);
@@ -217,7 +222,7 @@
                 }
                 Move::Release(at) => {
                     let Some(held) = me.held.get(at).cloned() else { continue };
-                    if let Step::Write(lane) = me.seen.1.release(held.epoch, 0, &[]) {
+                    if let Decision::Write(lane) = me.seen.1.release(held.epoch, 0, &[]) {
                         write(&me.seen, lane);
                     }
                 }
@@ -236,9 +241,9 @@
         }
     }
 
-    /// Items come back in any way and order. Each gets one result; one that must
-    /// run at most once is sent again only after it surely was not run; one that
-    /// failed is sent alone.
+    /// Items finish in any order and with any outcome. Each gets one result. An item that must run
+    /// at most once is sent again only if it certainly did not run, and an item that failed is sent
+    /// isolated.
     #[test]
     fn chunk_gives_each_item_one_result(
         count in 1u32..40,
@@ -255,17 +260,17 @@
         let mut spent: BTreeMap<u32, u32> = BTreeMap::new();
         let mut marked = Vec::new();
         for _ in 0..20_000 {
-            if chunk.is_over() {
+            if chunk.is_finished() {
                 break;
             }
             now += Duration::from_millis(100);
-            // The answer to a mark comes only every third time.
+            // Marks are confirmed only in every third round.
             if now.as_millis().is_multiple_of(300) {
                 let unmarked = chunk.unmarked(5);
                 chunk.marked(&unmarked);
                 marked.extend(unmarked);
             }
-            chunk.record_alone(now);
+            chunk.start_isolation(now);
             if let Some(entry) = chunk.take_unwritten(&"job".into()) {
                 let replies: Vec<u32> = entry.replies.iter().map(|reply| reply.number).collect();
                 chunk.written(&entry.attempts, &replies);
@@ -275,7 +280,7 @@
                 prop_assert!(chunk.start(number).is_some());
                 running.push((number, false));
             }
-            if let Some(number) = chunk.next_alone().filter(|_| running.is_empty()) {
+            if let Some(number) = chunk.next_isolated().filter(|_| running.is_empty()) {
                 prop_assert!(chunk.start(number).is_some());
                 running.push((number, true));
             }
@@ -295,7 +300,7 @@
                 chunk.ended(now, number, outcome);
             }
         }
-        prop_assert!(chunk.is_over());
+        prop_assert!(chunk.is_finished());
         let replies = chunk.replies();
         let numbers: Vec<u32> = replies.iter().map(|reply| reply.number).collect();
         prop_assert_eq!(numbers, (0..count).collect::<Vec<_>>());
@@ -323,9 +328,11 @@
             once: false,
             state: State::Active,
         };
-        let spans: Vec<u32> = (0..job.lanes).flat_map(|lane| job.span(lane)).collect();
+        let spans: Vec<u32> = (0..job.lanes)
+            .flat_map(|lane| job.chunk_range(lane))
+            .collect();
         expect_that!(spans, eq(&(0..job.chunks()).collect::<Vec<_>>()));
-        let numbers: usize = (0..job.chunks()).map(|c| job.numbers(c).len()).sum();
+        let numbers: usize = (0..job.chunks()).map(|c| job.item_range(c).len()).sum();
         expect_that!(numbers, eq(count as usize));
     }
 }
--- a/tests/job_order.rs
+++ b/tests/job_order.rs
@@ -1,9 +1,9 @@
-//! Nobody starves: neither a small job behind a large one, nor one organisation
-//! behind another.
+//! No starvation: neither of a small job behind a large one, nor of one organisation behind
+//! another.
 
 use std::time::Duration;
 
-use auburnspoke::job::order::{Candidate, Ledger, WINDOW};
+use auburnspoke::job::order::{Candidate, Scheduler, WINDOW_ITEMS};
 use auburnspoke::job::{Item, State};
 use googletest::prelude::*;
 use proptest::prelude::*;
@@ -21,8 +21,8 @@
     }
 }
 
-/// A job of 420,000 items has all slots when one of 50 with an earlier due time
-/// arrives. In the order of arrival, the small one would wait for hours.
+/// A job of 420,000 items occupies all slots when one of 50 items with an earlier due time arrives.
+/// In order of arrival, the small job would wait for hours.
 #[gtest]
 fn small_job_overtakes_a_large_one() {
     run(async {
@@ -40,14 +40,14 @@
         let id = fleet.submit(&second).await;
         assert_eq!(fleet.finish(&id).await, State::Ended);
         let took = fleet.elapsed().saturating_sub(submitted);
-        // One chunk of 512 of the large job at 8 slots and 0.23 s an item takes
-        // 15 s, after which a slot looks for other work.
+        // One chunk of 512 items of the large job at 8 slots and 0.23 s an item takes 15 s, after
+        // which the node claims other work.
         expect_that!(took, lt(Duration::from_secs(45)));
     });
 }
 
-/// One organisation floods the fleet with jobs that are all due sooner. By due
-/// time alone, the other's job would be last.
+/// One organisation submits many jobs that are all due sooner. By due time alone, the other
+/// organisation's job would be last.
 #[gtest]
 fn flood_of_another_organisation() {
     run(async {
@@ -69,67 +69,67 @@
 
 #[gtest]
 fn pick_earliest_due_inside_the_window() {
-    let mut ledger = Ledger::default();
+    let mut scheduler = Scheduler::default();
     let both = [candidate("a", 2), candidate("b", 1)];
-    expect_that!(ledger.pick(&both), some(eq(1)));
+    expect_that!(scheduler.pick(&both), some(eq(1)));
 }
 
 #[gtest]
 fn pick_shares_by_weight() {
-    let mut ledger = Ledger::default();
-    ledger.weigh([("a".into(), 3), ("b".into(), 1)].into());
+    let mut scheduler = Scheduler::default();
+    scheduler.set_weights([("a".into(), 3), ("b".into(), 1)].into());
     let both = [candidate("a", 5), candidate("b", 5)];
     let mut had = [0u64; 2];
     for _ in 0..4_000 {
-        let at = ledger.pick(&both).expect("a candidate");
+        let at = scheduler.pick(&both).expect("a candidate");
         had[at] += 128;
-        ledger.charge(&both[at].organisation, 128);
+        scheduler.charge(&both[at].organisation, 128);
     }
     let share = had[0] as f64 / (had[0] + had[1]) as f64;
     expect_that!(share, all![ge(0.74), le(0.76)]);
 }
 
-/// An organisation that was idle for a day must not then shut out the others
-/// until it has had a day's worth.
+/// An organisation that was idle for a day must not delay the others until it has caught up a day
+/// of work.
 #[gtest]
 fn pick_after_a_pause_starts_level() {
-    let mut ledger = Ledger::default();
+    let mut scheduler = Scheduler::default();
     for _ in 0..1_000 {
-        ledger.pick(&[candidate("busy", 1)]);
-        ledger.charge(&"busy".into(), 512);
+        scheduler.pick(&[candidate("busy", 1)]);
+        scheduler.charge(&"busy".into(), 512);
     }
     let both = [candidate("busy", 1), candidate("back", 9)];
     let mut waited = 0;
-    while ledger.pick(&both) == Some(1) {
-        ledger.charge(&"back".into(), 512);
+    while scheduler.pick(&both) == Some(1) {
+        scheduler.charge(&"back".into(), 512);
         waited += 1;
-        assert!(waited < 10, "the one that was away shuts the other out");
+        assert!(waited < 10, "the returning organisation starves the other");
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever due times organisations claim, none gets more than the window
-    /// and one chunk ahead of another that has work.
+    /// For any due times, no organisation gets further ahead of another with work than the window
+    /// and one chunk.
     #[test]
     fn pick_bounds_the_lead(
         dues in prop::collection::vec(0u64..1_000, 2..12),
         chunk in 1u32..512,
         weights in prop::collection::vec(1u32..5, 12),
     ) {
-        let mut ledger = Ledger::default();
+        let mut scheduler = Scheduler::default();
         let names: Vec<String> = (0..dues.len()).map(|n| format!("org-{n}")).collect();
         let weighed = names.iter().zip(&weights);
-        ledger.weigh(weighed.map(|(name, weight)| (name.as_str().into(), *weight)).collect());
+        scheduler.set_weights(weighed.map(|(name, weight)| (name.as_str().into(), *weight)).collect());
         let all: Vec<Candidate> = names.iter().zip(&dues).map(|(n, d)| candidate(n, *d)).collect();
         let mut had = vec![0u64; all.len()];
         for _ in 0..2_000 {
-            let at = ledger.pick(&all).expect("a candidate");
-            ledger.charge(&all[at].organisation, chunk);
+            let at = scheduler.pick(&all).expect("a candidate");
+            scheduler.charge(&all[at].organisation, chunk);
             had[at] += u64::from(chunk) * 1_000 / u64::from(weights[at]);
             let least = had.iter().min().copied().unwrap_or(0);
-            let bound = (WINDOW + u64::from(chunk)) * 1_000;
+            let bound = (WINDOW_ITEMS + u64::from(chunk)) * 1_000;
             prop_assert!(had.iter().all(|had| had - least <= bound));
         }
     }
--- a/tests/job_poison.rs
+++ b/tests/job_poison.rs
@@ -1,4 +1,4 @@
-//! Items that can never be completed end, and harm nobody else.
+//! Items that can never be completed end, and do not affect other items.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
 #[path = "job_support/fleet.rs"]
 mod fleet;
 
-/// A few recipes of a lot are malformed and the endpoint refuses them. The job
-/// would never end if they were tried for ever.
+/// Some items are malformed and the endpoint refuses them. If they were retried without end, the
+/// job would never end.
 #[gtest]
 fn malformed_items_end_with_an_error() {
     run(async {
@@ -36,11 +36,10 @@
     });
 }
 
-/// One item kills its endpoint each time, and with it whatever runs there. If it
-/// were sent with the others again, neighbours would fail as often as it does and
-/// end with errors of its making.
+/// One item crashes its endpoint each time, together with everything that runs there. If it were
+/// sent along with others again, those would fail as often as it does and end with errors.
 #[gtest]
-fn killer_of_endpoints_is_found_alone() {
+fn endpoint_killer_is_isolated() {
     run(async {
         let mut fleet = Fleet::new(2, 1);
         let mut lot = items(100);
@@ -60,11 +59,10 @@
     });
 }
 
-/// One item takes its whole VM down each time. An attempt that is only counted
-/// in that VM's memory is never counted, and the item takes down one VM after
-/// the other.
+/// One item crashes its whole VM each time. An attempt counted only in that VM's memory would be
+/// lost, and the item would crash one VM after the other.
 #[gtest]
-fn killer_of_vms_is_bounded() {
+fn vm_killer_attempts_are_bounded() {
     run(async {
         let mut fleet = Fleet::new(3, 1);
         let mut lot = items(30);
@@ -81,7 +79,7 @@
             }
             fleet.pass(Duration::from_secs(1)).await;
         }
-        // Twice among others, then three times alone.
+        // Twice with other items, then three times isolated.
         expect_that!(killed, le(5));
         assert_eq!(fleet.state(&id).await, Some(State::Ended));
         let replies = fleet.read(&id).await;
@@ -92,10 +90,10 @@
     });
 }
 
-/// While its killer is tried alone, a chunk's neighbours wait for seconds and
-/// not for as long as the job lasts.
+/// While an item that crashes endpoints is retried in isolation, the other items wait for seconds
+/// and not for as long as the job lasts.
 #[gtest]
-fn killer_holds_nobody_up() {
+fn endpoint_killer_does_not_block_other_jobs() {
     run(async {
         let mut fleet = Fleet::new(4, 1);
         let mut lot = items(100);
