--- a/tests/job_process.rs
+++ b/tests/job_process.rs
@@ -1,4 +1,4 @@
-//! Batch jobs over real processes, which are killed and paused.
+//! Batch jobs on real processes that are killed and paused.
 
 use std::time::{Duration, Instant};
 
@@ -8,9 +8,8 @@
 #[path = "support/env.rs"]
 mod env;
 
-/// A lost holder's chunk is free after its lease of 30 s; the rest is for slow
-/// machines.
-const PATIENCE: Duration = Duration::from_secs(180);
+/// A lost holder's chunk can be claimed after its lease of 30 s; the rest allows for slow machines.
+const JOB_TIMEOUT: Duration = Duration::from_secs(180);
 
 fn fleet() -> env::Fleet {
     let mut fleet = env::Fleet::new();
@@ -31,7 +30,7 @@
     json!({"service": "recipes", "organisation": "trust", "key": key, "items": items})
 }
 
-/// Waits until the job has that state at the node.
+/// Waits until the node reports that state of the job.
 fn wait(fleet: &env::Fleet, node: usize, name: &Value, state: &str) {
     let start = Instant::now();
     loop {
@@ -39,7 +38,7 @@
         if status.as_ref().is_ok_and(|status| status["state"] == state) {
             return;
         }
-        assert!(start.elapsed() < PATIENCE, "no {state}: {status:?}");
+        assert!(start.elapsed() < JOB_TIMEOUT, "no {state}: {status:?}");
         std::thread::sleep(Duration::from_millis(200));
     }
 }
@@ -62,9 +61,8 @@
     assert!(results.iter().all(done), "all done");
 }
 
-/// A VM is killed just after it acknowledged a job. The client sends the job
-/// again to another, which must know it; with other content under its key, the
-/// client is told.
+/// A VM is killed just after it acknowledged a job. A resubmission to another node must be
+/// recognised, and one with different content under the same key must be refused.
 #[gtest]
 fn kill_after_the_acknowledgement() {
     let mut fleet = fleet();
@@ -89,8 +87,8 @@
     assert_whole(&results(&fleet, 2, &name), 60);
 }
 
-/// A VM is killed with items of a chunk at its endpoints. Others find its lease
-/// expired and go on from its log.
+/// A VM is killed with items of a chunk at its endpoints. Other nodes find its lease expired and
+/// continue from its log.
 #[gtest]
 fn kill_with_items_in_flight() {
     let mut fleet = fleet();
@@ -104,8 +102,8 @@
     assert_whole(&results(&fleet, 2, &name), 600);
 }
 
-/// A VM is frozen past its lease, another finishes its chunk, and it thaws. What
-/// was readable stays as it was.
+/// A VM is paused past its lease, another finishes its chunk, and the first resumes. Readable
+/// results must not change.
 #[gtest]
 fn freeze_past_the_lease_then_thaw() {
     let fleet = fleet();
@@ -123,8 +121,8 @@
     expect_that!(results(&fleet, 0, &name), eq(&before));
 }
 
-/// The platform goes down with chunks held. New jobs are refused as not
-/// accepted, with when to come back; the work goes on and is committed later.
+/// The platform is down while chunks are held. New jobs are refused as not run, with a retry delay;
+/// running work continues and is committed later.
 #[gtest]
 fn outage_with_chunks_held() {
     let fleet = fleet();
@@ -150,8 +148,8 @@
     assert_whole(&results(&fleet, 2, &name), 300);
 }
 
-/// A job is cancelled at one node while others run it. All see the same end, and
-/// the engines come to rest.
+/// A job is cancelled at one node while others run it. All nodes report the same state, and the
+/// engines become idle.
 #[gtest]
 fn cancel_stops_every_node() {
     let fleet = fleet();
@@ -162,7 +160,7 @@
     std::thread::sleep(Duration::from_secs(3));
     let told = fleet.caller(1, "CancelJob", &name).expect("answers");
     expect_that!(told["state"], eq(&json!("JOB_STATE_CANCELLED")));
-    // The stated bound is 10 s, and the look at a job's row takes its time.
+    // The documented bound is 10 s, plus the time to read the job's row.
     std::thread::sleep(Duration::from_secs(12));
     let arrived = || -> Vec<Value> {
         (0..3)
@@ -178,9 +176,9 @@
     }
 }
 
-/// Items that must run at most once are at the engines when one VM is killed and
-/// another paused. A remittance that is sent again is paid twice; one that is in
-/// doubt has to be said to be.
+/// Items that must run at most once are at the engines when one VM is killed and another paused. No
+/// item may run twice (a payment would be made twice), and items that may have run must be reported
+/// as such.
 #[gtest]
 fn kill_and_freeze_with_once_items_in_flight() {
     let mut fleet = fleet();
--- a/tests/job_support/fleet.rs
+++ b/tests/job_support/fleet.rs
@@ -1,7 +1,7 @@
-//! Several runners in virtual time before one platform in memory.
+//! Several runners in virtual time against one in-memory platform.
 //!
-//! Each node is a `LocalSet` of its own: dropping it is the loss of its VM, and
-//! not polling it is a pause in which neither its clock nor its tasks move.
+//! Each node is a `LocalSet` of its own: dropping it simulates the loss of its VM, and not polling
+//! it a pause in which neither its clock nor its tasks advance.
 #![allow(dead_code)]
 
 use std::cell::{Cell, RefCell};
@@ -31,7 +31,7 @@
 pub const SERVICE: &str = "rescale";
 pub const NOW_MS: u64 = 1_800_000_000_000;
 
-/// The platform a few milliseconds away.
+/// The in-memory platform behind a network delay of a few milliseconds.
 #[derive(Clone)]
 pub struct Remote {
     platform: Platform,
@@ -48,7 +48,7 @@
         }
     }
 
-    async fn way(&self) {
+    async fn network_delay(&self) {
         let micros = self.random.borrow_mut().random_range(300..3_000);
         sleep(Duration::from_micros(micros)).await;
         self.platform.set_time(Time::ZERO + self.origin.elapsed());
@@ -57,46 +57,46 @@
 
 impl Table for Remote {
     async fn transact(&self, transaction: Transaction) -> Result<u64, Fault> {
-        self.way().await;
+        self.network_delay().await;
         let answer = self.platform.transact(transaction).await;
-        self.way().await;
+        self.network_delay().await;
         answer
     }
 
     async fn get(&self, key: &str) -> Result<Option<Row>, Fault> {
-        self.way().await;
+        self.network_delay().await;
         let answer = Table::get(&self.platform, key).await;
-        self.way().await;
+        self.network_delay().await;
         answer
     }
 
     async fn scan(&self, prefix: &str, after: &str, limit: usize) -> Result<Page, Fault> {
-        self.way().await;
+        self.network_delay().await;
         let answer = self.platform.scan(prefix, after, limit).await;
-        self.way().await;
+        self.network_delay().await;
         answer
     }
 }
 
 impl Store for Remote {
     async fn put(&self, name: &str, value: Bytes) -> Result<(), Fault> {
-        self.way().await;
+        self.network_delay().await;
         let answer = self.platform.put(name, value).await;
-        self.way().await;
+        self.network_delay().await;
         answer
     }
 
     async fn get(&self, name: &str) -> Result<Option<Bytes>, Fault> {
-        self.way().await;
+        self.network_delay().await;
         let answer = Store::get(&self.platform, name).await;
-        self.way().await;
+        self.network_delay().await;
         answer
     }
 
     async fn delete(&self, name: &str) -> Result<(), Fault> {
-        self.way().await;
+        self.network_delay().await;
         let answer = self.platform.delete(name).await;
-        self.way().await;
+        self.network_delay().await;
         answer
     }
 }
@@ -110,12 +110,12 @@
     pub others: usize,
 }
 
-/// What the endpoints have seen.
+/// Runs and cancellations at the endpoints.
 #[derive(Default)]
 pub struct World {
     pub runs: Vec<Run>,
     pub cancelled: usize,
-    /// Nodes that an item has taken down.
+    /// Nodes that an item has crashed.
     pub doomed: Vec<usize>,
 }
 
@@ -125,7 +125,7 @@
     }
 }
 
-/// The endpoint of one node.
+/// The simulated endpoint of one node.
 pub struct Endpoint {
     node: usize,
     slots: usize,
@@ -153,7 +153,7 @@
 }
 
 impl Endpoint {
-    /// Waits for an item's time, or until the endpoint is killed.
+    /// Waits for the duration of an item; returns false if the endpoint is killed meanwhile.
     async fn work(&self, took: Duration) -> bool {
         let mut kills = self.kills.subscribe();
         timeout(took, kills.changed()).await.is_err()
@@ -236,7 +236,7 @@
     pub slots: usize,
     pub took: Duration,
     next: usize,
-    /// Every result as it was first readable.
+    /// Every result as it was when first readable.
     pub readable: BTreeMap<(Id, u32), Reply>,
     origin: Instant,
 }
@@ -246,7 +246,7 @@
         Self::with(seed, nodes, Duration::from_millis(200))
     }
 
-    /// A fleet whose endpoints take that long for an item.
+    /// Creates a fleet whose endpoints take `took` for an item.
     pub fn with(seed: u64, nodes: usize, took: Duration) -> Self {
         let platform = Platform::in_virtual_time(Time::ZERO, seed);
         let remote = Remote::new(platform.clone(), seed);
@@ -317,12 +317,12 @@
         number
     }
 
-    /// Loses a VM.
+    /// Simulates the loss of a VM.
     pub fn kill(&mut self, number: usize) {
         self.nodes.remove(&number);
     }
 
-    /// Asks a node to stop in order.
+    /// Asks a node to stop gracefully.
     pub fn stop(&mut self, number: usize) {
         if let Some(stop) = self
             .nodes
@@ -333,14 +333,14 @@
         }
     }
 
-    /// Pauses a node, or lets it go on.
+    /// Pauses a node, or resumes it.
     pub fn freeze(&mut self, number: usize, frozen: bool) {
         if let Some(node) = self.nodes.get_mut(&number) {
             node.frozen = frozen;
         }
     }
 
-    /// Rows in the index of unfinished lanes.
+    /// Number of rows in the index of unfinished lanes.
     pub async fn open_lanes(&mut self) -> usize {
         let remote = self.remote.clone();
         let page = self
@@ -349,7 +349,7 @@
         page.map_or(usize::MAX, |page| page.rows.len())
     }
 
-    /// Chunks claimed by all nodes that are there.
+    /// Chunks claimed by all running nodes.
     pub fn claimed(&self) -> u64 {
         self.nodes
             .values()
@@ -370,7 +370,7 @@
         self.origin.elapsed()
     }
 
-    /// Lets virtual time pass.
+    /// Advances virtual time.
     pub async fn pass(&mut self, time: Duration) {
         self.during(sleep(time)).await;
     }
@@ -410,7 +410,7 @@
         }
     }
 
-    /// Submits and expects acceptance.
+    /// Submits a job and panics unless it is accepted.
     pub async fn submit(&mut self, submission: &Submission) -> Id {
         let jobs = self.jobs.clone();
         let submission = submission.clone();
@@ -423,7 +423,7 @@
         }
     }
 
-    /// The job's state, when the platform answers.
+    /// The job's state; `None` if the platform does not answer.
     pub async fn state(&mut self, id: &Id) -> Option<State> {
         let jobs = self.jobs.clone();
         match self.during(async { jobs.status(id).await }).await {
@@ -432,8 +432,7 @@
         }
     }
 
-    /// Reads all results, and fails when one differs from what was readable
-    /// before.
+    /// Reads all results, and panics if one differs from what was readable before.
     pub async fn read(&mut self, id: &Id) -> Vec<Reply> {
         let jobs = self.jobs.clone();
         let read = self
@@ -460,8 +459,7 @@
         read
     }
 
-    /// Waits until the job is no longer active; fails after an hour of virtual
-    /// time.
+    /// Waits until the job is no longer active; panics after an hour of virtual time.
     pub async fn finish(&mut self, id: &Id) -> State {
         for _ in 0..3_600 {
             match self.state(id).await {
@@ -469,10 +467,13 @@
                 Some(state) => return state,
             }
         }
-        panic!("job {id} does not end: {:?}", self.platform.counts());
+        panic!(
+            "job {id} did not end within an hour of virtual time: {:?}",
+            self.platform.counts()
+        );
     }
 
-    /// Waits until `ready`, for at most ten minutes of virtual time.
+    /// Waits until `ready` returns true, for at most ten minutes of virtual time.
     pub async fn until<F>(&mut self, mut ready: F)
     where
         F: FnMut(&Self) -> bool,
@@ -483,7 +484,7 @@
             }
             self.pass(Duration::from_millis(10)).await;
         }
-        panic!("what was waited for does not come");
+        panic!("condition not met within ten minutes of virtual time");
     }
 }
 
@@ -500,7 +501,7 @@
     let hang = Duration::from_secs(100 * 3_600);
     runtime
         .block_on(async { timeout(hang, test).await })
-        .expect("ends in virtual time");
+        .expect("test did not end within 100 hours of virtual time");
 }
 
 pub fn items(count: u32) -> Vec<Item> {
@@ -524,7 +525,7 @@
     }
 }
 
-/// Fails unless there is exactly one result for each item, in order.
+/// Panics unless there is exactly one result for each item, in order.
 pub fn assert_whole(replies: &[Reply], items: u32) {
     let numbers: Vec<u32> = replies.iter().map(|reply| reply.number).collect();
     let wanted: Vec<u32> = (0..items).collect();
