--- a/src/job/accept.rs
+++ b/src/job/accept.rs
@@ -152,7 +152,9 @@
         }
         let refusal = Refusal::new(Reason::Platform)
             .after(LOST_ANSWER_RETRY_AFTER)
-            .because("the platform did not confirm the job; submit it again with the same key");
+            .with_message(
+                "the platform did not confirm the job; submit it again with the same key",
+            );
         Outcome::MayHaveRun(refusal)
     }
 }
@@ -177,20 +179,20 @@
     }
     if submission.items.is_empty() {
         return Err(
-            Refusal::new(Reason::Invalid).because("the job has no items; submit at least one")
+            Refusal::new(Reason::Invalid).with_message("the job has no items; submit at least one")
         );
     }
     if submission.items.len() > MAX_ITEMS {
         let message =
             format!("a job may have at most {MAX_ITEMS} items; split it into several jobs");
-        return Err(Refusal::new(Reason::TooLarge).because(message));
+        return Err(Refusal::new(Reason::TooLarge).with_message(message));
     }
     let long = |item: &Item| item.prompt.len() > MAX_PROMPT_BYTES;
     if let Some(number) = submission.items.iter().position(long) {
         let message = format!(
             "the prompt of item {number} is longer than {MAX_PROMPT_BYTES} bytes; shorten it"
         );
-        return Err(Refusal::new(Reason::TooLarge).because(message));
+        return Err(Refusal::new(Reason::TooLarge).with_message(message));
     }
     check_unique_keys(&submission.items)
 }
@@ -258,7 +260,7 @@
         return Outcome::Done(accepted(&found, resent));
     }
     let message = "this key belongs to a job with different content; choose another key";
-    Outcome::NotRun(Refusal::new(Reason::Conflict).because(message))
+    Outcome::NotRun(Refusal::new(Reason::Conflict).with_message(message))
 }
 
 fn accepted(job: &Job, resent: bool) -> Accepted {
--- a/src/job/cancel.rs
+++ b/src/job/cancel.rs
@@ -83,7 +83,7 @@
     if lost {
         let message =
             "the platform did not confirm the cancellation; cancel the job again to get its state";
-        return Outcome::MayHaveRun(refusal.because(message));
+        return Outcome::MayHaveRun(refusal.with_message(message));
     }
     Outcome::NotRun(refusal)
 }
