--- a/benches/dispatch.rs
+++ b/benches/dispatch.rs
@@ -1,6 +1,6 @@
-//! Processor time of admitting and following one request at its dispatcher.
+//! CPU time of admitting and tracking one request at its dispatcher.
 
-#![allow(missing_docs)] // The group that the macro makes has none.
+#![allow(missing_docs)] // `criterion_group!` generates undocumented items.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -25,7 +25,7 @@
     }
 }
 
-/// A queue in which `running` batch items run.
+/// Returns a queue with `running` running batch items.
 fn queue(running: u64) -> Queue {
     let setting = Setting {
         slots: 64,
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -1,9 +1,9 @@
 //! Admission of work to one endpoint.
 //!
-//! Engines admit whatever arrives and know no priorities, so priority exists
-//! only here: the one [`Queue`] that stands before an endpoint sees each of its
-//! slots, keeps room for questions and takes batch work off the endpoint when
-//! a burst arrives. docs/design/dispatch.md compares the ways weighed.
+//! Engines admit whatever arrives and have no priorities, so priority exists
+//! only here: a single [`Queue`] in front of each endpoint accounts for all of
+//! its slots, reserves capacity for online requests and preempts batch work
+//! when a burst arrives. docs/design/dispatch.md compares the alternatives.
 
 use serde::{Deserialize, Serialize};
 
@@ -12,11 +12,11 @@
 use crate::outcome::Refusal;
 use crate::request::Class;
 
+mod backlog;
+mod estimator;
 pub mod handle;
 mod health;
-mod line;
 pub mod loads;
-mod pace;
 mod policy;
 mod queue;
 mod run;
@@ -26,57 +26,56 @@
 pub use policy::Policy;
 pub use queue::Queue;
 
-/// Identity of a request at one dispatcher; never used twice.
+/// Identifier of a request at one dispatcher; never reused.
 pub type Id = u64;
 
-/// A request as far as admission needs to know it.
+/// The properties of a request that admission depends on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Offer {
-    /// Its identity.
+    /// Its identifier.
     pub id: Id,
     /// Online or batch.
     pub class: Class,
-    /// Who asks.
+    /// The organisation that the request belongs to.
     pub organisation: Name,
-    /// When the caller gives up.
+    /// Time after which the caller no longer needs the answer.
     pub deadline: Time,
-    /// Estimated length of the prompt.
+    /// Estimated length of the prompt in tokens.
     pub prompt_tokens: u32,
-    /// Most tokens that may be generated.
+    /// Maximum number of tokens to generate; 0 for a plain call.
     pub max_tokens: u32,
-    /// True when it must run at most once, so that it can't be stopped and
-    /// started again.
+    /// True when it must run at most once, so it can't be preempted and resumed.
     pub once: bool,
-    /// True when its gateway has another endpoint for it and would rather be
-    /// told at once that this one is crowded than wait.
+    /// True when its gateway has another endpoint for it and prefers an immediate
+    /// refusal to waiting at a crowded one.
     pub spills: bool,
 }
 
 /// How a run at the endpoint ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// The answer is whole.
+    /// The answer is complete.
     Complete,
-    /// The endpoint failed or broke off.
+    /// The endpoint failed or its answer was truncated.
     Failed,
-    /// The endpoint refused before it ran anything.
+    /// The endpoint refused the request before running it.
     Refused,
-    /// It was stopped as [`Action::Stop`] demanded.
+    /// It was cancelled because of [`Action::Stop`].
     Stopped,
 }
 
-/// What the endpoint reports of itself, with a lag.
+/// The endpoint's own report of its load, which lags behind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// Sequences that run there.
+    /// Running sequences.
     pub running: u32,
-    /// Sequences that wait there.
+    /// Waiting sequences.
     pub waiting: u32,
-    /// Used part of its KV memory, from 0 to 1.
+    /// Used fraction of its KV cache, from 0 to 1.
     pub kv_used: f32,
 }
 
-/// What happened.
+/// An event that the queue reacts to.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// A request arrived.
@@ -92,10 +91,10 @@
     Ended {
         /// Which request.
         id: Id,
-        /// How.
+        /// How it ended.
         end: End,
     },
-    /// The caller went away, or the item was cancelled.
+    /// The caller disconnected, or the item was cancelled.
     Withdraw {
         /// Which request.
         id: Id,
@@ -104,43 +103,42 @@
     Report(Report),
     /// Configuration changed.
     Setting(Setting),
-    /// Time passed; due when [`Queue::wake`] says so.
+    /// Time passed; due at [`Queue::wake`].
     Tick,
 }
 
-/// What the shell must do.
+/// What the shell does on behalf of the queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send the request to the endpoint, from where its answer broke off.
+    /// Send the request to the endpoint, resuming after the last received token.
     Start {
         /// Which request.
         id: Id,
     },
     /// Cancel the run at the endpoint and keep what it generated. The request
-    /// stays with the queue, which starts it again later, unless it was
-    /// withdrawn.
+    /// stays in the queue and is resumed later, unless it was withdrawn.
     Stop {
         /// Which request.
         id: Id,
     },
-    /// Cancel the run at the endpoint, if there is one, and tell the requester
-    /// that it may have run. The queue has forgotten it.
+    /// Cancel the run at the endpoint, if there is one, and report to the
+    /// requester that it may have run. The queue no longer holds the request.
     Abandon {
         /// Which request.
         id: Id,
-        /// Why, and when to come back.
+        /// The reason and the retry delay.
         refusal: Refusal,
     },
-    /// Tell the requester that it did not run.
+    /// Report to the requester that it did not run.
     Refuse {
         /// Which request.
         id: Id,
-        /// Why, and when to come back.
+        /// The reason and the retry delay.
         refusal: Refusal,
     },
 }
 
-/// What configuration says of one endpoint.
+/// The configuration of one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Setting {
     /// Sequences the endpoint can run at the same time.
@@ -154,13 +152,13 @@
 /// How busy an endpoint is, carried back to gateways with every answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Questions that run there.
+    /// Running online requests.
     pub online: u32,
-    /// Batch items that run there.
+    /// Running batch items.
     pub batch: u32,
-    /// Questions that wait at the dispatcher.
+    /// Online requests that wait at the dispatcher.
     pub queued: u32,
-    /// Batch items that the dispatcher would take now.
+    /// Batch items that the dispatcher would accept now.
     pub room: u32,
     /// Recent time to first token, in microseconds.
     pub first_token_us: u32,
--- a/src/dispatch/line.rs
+++ b/src/dispatch/backlog.rs
@@ -1,4 +1,4 @@
-//! Requests that wait, shared fairly between organisations.
+//! Waiting requests, scheduled fairly between organisations.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,44 +6,44 @@
 use crate::clock::Time;
 use crate::name::Name;
 
-/// A request that waits.
+/// A waiting request.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// What was offered.
+    /// The request as offered.
     pub offer: Offer,
-    /// When it came here first.
+    /// When it was first offered.
     pub arrived: Time,
-    /// Tokens that it has already, when it was stopped.
-    pub done: u32,
-    /// True when part of it has been at the endpoint.
-    pub ran: bool,
+    /// Tokens generated before it was preempted.
+    pub generated: u32,
+    /// True when it has been sent to the endpoint before.
+    pub has_run: bool,
 }
 
-/// A bounded line. Organisations take turns, so that one that sends much does
-/// not make the others wait behind all of it.
+/// A bounded queue, round-robin between organisations, so that the requests of a
+/// busy organisation do not delay those of the others.
 #[derive(Debug, Default)]
-pub struct Line {
+pub struct Backlog {
     by_organisation: BTreeMap<Name, VecDeque<Entry>>,
     turns: VecDeque<Name>,
-    /// Stopped requests, which go before all others.
-    resumed: VecDeque<Entry>,
+    /// Preempted requests, which take precedence over all others.
+    preempted: VecDeque<Entry>,
     len: usize,
 }
 
-impl Line {
-    /// Requests that wait.
+impl Backlog {
+    /// Number of waiting requests.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// True when none waits.
+    /// True when no request waits.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Takes a request in. When more than `bound` wait, the newest of the
-    /// organisation with the most is handed back to be refused, which may be
-    /// the one that came.
+    /// Adds a request. When more than `bound` requests wait, removes and returns the
+    /// newest one of the organisation with the most waiting requests, which may be
+    /// the added one, so that the caller refuses it.
     pub fn push(&mut self, entry: Entry, bound: usize) -> Option<Entry> {
         let name = Name::clone(&entry.offer.organisation);
         let own = self.by_organisation.entry(Name::clone(&name)).or_default();
@@ -60,40 +60,40 @@
         self.take(&name, VecDeque::pop_back)
     }
 
-    /// Takes back a request that was stopped, before all others.
-    pub fn resume(&mut self, entry: Entry) {
+    /// Adds a preempted request, ahead of all new ones.
+    pub fn requeue(&mut self, entry: Entry) {
         self.len += 1;
-        self.resumed.push_back(entry);
+        self.preempted.push_back(entry);
     }
 
-    /// The next request, without taking it out.
+    /// Returns the next request without removing it.
     pub fn peek(&self) -> Option<&Entry> {
         let next = || self.by_organisation.get(self.turns.front()?)?.front();
-        self.resumed.front().or_else(next)
+        self.preempted.front().or_else(next)
     }
 
-    /// Takes the next request out.
+    /// Removes and returns the next request.
     pub fn pop(&mut self) -> Option<Entry> {
-        if let Some(entry) = self.resumed.pop_front() {
+        if let Some(entry) = self.preempted.pop_front() {
             self.len -= 1;
             return Some(entry);
         }
         let name = Name::clone(self.turns.front()?);
         let entry = self.take(&name, VecDeque::pop_front);
-        // Its turn is over; the others come before it comes again.
+        // Move the organisation to the end of the rotation.
         if self.turns.front() == Some(&name) {
             self.turns.rotate_left(1);
         }
         entry
     }
 
-    /// Takes out a request that its requester gave up.
+    /// Removes a withdrawn request.
     pub fn remove(&mut self, id: Id) -> Option<Entry> {
         let mut gone = self.drain_where(|entry| entry.offer.id == id);
         gone.pop()
     }
 
-    /// Takes out every request for which `gone` holds.
+    /// Removes and returns the requests for which `gone` is true.
     pub fn drain_where<F>(&mut self, gone: F) -> Vec<Entry>
     where
         F: Fn(&Entry) -> bool,
@@ -110,7 +110,7 @@
                 }
             }
         };
-        sift(&mut self.resumed);
+        sift(&mut self.preempted);
         self.by_organisation.values_mut().for_each(&mut sift);
         self.by_organisation.retain(|_, all| !all.is_empty());
         let left = &self.by_organisation;
@@ -119,10 +119,10 @@
         out
     }
 
-    /// The earliest deadline.
+    /// Returns the earliest deadline.
     pub fn deadline(&self) -> Option<Time> {
         let waiting = self.by_organisation.values().flatten();
-        let all = waiting.chain(&self.resumed);
+        let all = waiting.chain(&self.preempted);
         all.map(|entry| entry.offer.deadline).min()
     }
 
--- a/src/dispatch/loads.rs
+++ b/src/dispatch/loads.rs
@@ -1,4 +1,4 @@
-//! The loads of a node's dispatchers, for readers on other threads.
+//! Loads of a node's dispatchers, shared with other threads.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,17 +7,17 @@
 use crate::name::Name;
 use crate::snapshot::Cell;
 
-/// What one shell last published.
+/// Load by endpoint.
 pub type Loads = BTreeMap<Name, Load>;
 
-/// Where the shells publish and others read, without a lock.
+/// The most recent loads of all shells. Publishing and reading take no lock.
 #[derive(Clone, Debug)]
 pub struct Registry {
     threads: Arc<[Arc<Cell<Loads>>]>,
 }
 
 impl Registry {
-    /// A board for that many shells.
+    /// Creates a registry for `threads` shells.
     pub fn new(threads: usize) -> Self {
         let cells = (0..threads).map(|_| Arc::new(Cell::new(Loads::new())));
         Self {
@@ -25,18 +25,18 @@
         }
     }
 
-    /// Where the shell of that thread publishes.
+    /// The cell that the shell of `thread` publishes to.
     pub fn cell(&self, thread: usize) -> Arc<Cell<Loads>> {
         Arc::clone(&self.threads[thread])
     }
 
-    /// The load of an endpoint, or nothing while its dispatcher is unused.
+    /// Returns the load of an endpoint, or `None` while its dispatcher is unused.
     pub fn load(&self, endpoint: &str) -> Option<Load> {
         let thread = super::handle::thread_of(endpoint, self.threads.len());
         self.threads[thread].read().get(endpoint).copied()
     }
 
-    /// The loads of every dispatcher that is in use.
+    /// Returns the loads of all dispatchers in use.
     pub fn all(&self) -> Loads {
         let all = self.threads.iter().map(|cell| Loads::clone(&cell.read()));
         all.flatten().collect()
--- a/src/dispatch/policy.rs
+++ b/src/dispatch/policy.rs
@@ -1,49 +1,51 @@
-//! The ways of admitting batch work beside questions.
+//! Policies for running batch work alongside online requests.
 
 use std::time::Duration;
 
-/// How much batch work runs beside questions. Operators don't choose it: they
-/// set `latency_weight`, which is one of the ways.
+/// How much batch work runs alongside online requests. Operators do not choose
+/// the policy. They set `latency_weight`, which tunes the adaptive ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Policy {
-    /// Whatever arrives is sent on.
+    /// Every request is sent at once.
     All,
-    /// Batch work gets a fixed part of the slots, in a hundred.
+    /// Batch work gets a fixed percentage of the slots.
     Split(u32),
-    /// Batch work gets what the endpoint has been seen to bear; what runs is
-    /// left to end.
+    /// Batch work is limited by the endpoint's estimated capacity. Running items
+    /// are not preempted.
     Adaptive,
-    /// The same, and batch streams are stopped when questions need the room.
+    /// Like [`Policy::Adaptive`], and batch streams are preempted when online requests
+    /// need the capacity.
     #[default]
     AdaptiveCancel,
 }
 
-/// What `latency_weight` means for an endpoint.
+/// How much batch work may slow down online requests, derived from
+/// `latency_weight`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tolerance {
-    /// How much longer the slow steps may get by batch work, as a part of what
-    /// they are without it.
+    /// How much longer batch work may make slow steps, as a fraction of their
+    /// duration without it.
     pub step: f64,
-    /// Time between the starts of two batch items while questions run.
-    pub prompt_gap: Duration,
-    /// True when a batch prompt that is being computed makes way for a question.
-    pub yields: bool,
+    /// Minimum interval between starts of batch items while online requests run.
+    pub batch_start_interval: Duration,
+    /// True when an online request preempts batch items that are being prefilled.
+    pub preempts_prefill: bool,
 }
 
 impl Tolerance {
-    /// The tolerance at a weight from 0 (batch throughput) to 100 (online tail
-    /// latency). docs/POLICY.md shows what each costs.
+    /// Returns the tolerance at a weight from 0 (batch throughput) to 100 (online
+    /// tail latency). docs/POLICY.md shows the costs of each.
     pub fn new(latency_weight: u32) -> Self {
-        let ease = f64::from(100 - latency_weight.min(100)) / 100.0;
-        let gap = match latency_weight {
+        let slack = f64::from(100 - latency_weight.min(100)) / 100.0;
+        let interval = match latency_weight {
             0..10 => Duration::ZERO,
             10..30 => Duration::from_millis(100),
             _ => Duration::from_secs(2),
         };
         Self {
-            step: 0.02 + ease * ease,
-            prompt_gap: gap,
-            yields: latency_weight >= 20,
+            step: 0.02 + slack * slack,
+            batch_start_interval: interval,
+            preempts_prefill: latency_weight >= 20,
         }
     }
 }
--- a/src/dispatch/queue.rs
+++ b/src/dispatch/queue.rs
@@ -1,11 +1,11 @@
-//! The queue before one endpoint.
+//! The admission queue of one endpoint.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+use super::backlog::{Backlog, Entry};
+use super::estimator::Estimator;
 use super::health::{Health, State};
-use super::line::{Entry, Line};
-use super::pace::Pace;
 use super::policy::{Policy, Tolerance};
 use super::{Action, End, Id, Input, Load, Offer, Setting};
 use crate::clock::Time;
@@ -14,51 +14,52 @@
 
 mod admit;
 
-/// Soonest that a refused request should come back.
+/// Minimum retry delay of a refused request.
 const MIN_RETRY: Duration = Duration::from_millis(50);
-/// When requests of a closed endpoint should come back.
+/// Retry delay of requests for a closed endpoint.
 const CLOSED_RETRY: Duration = Duration::from_secs(2);
 
-/// A request at the endpoint.
+/// A request that runs at the endpoint.
 #[derive(Clone, Debug)]
 struct Run {
     offer: Offer,
     arrived: Time,
-    /// Tokens of the answer so far, those of earlier runs among them.
-    done: u32,
-    /// True until this run brings a token.
-    computing: bool,
-    /// True when it was told to stop and its end has not come yet.
+    /// Tokens of the answer so far, including those of earlier runs.
+    generated: u32,
+    /// True until the first token of this run.
+    prefilling: bool,
+    /// True when it is being preempted and has not ended yet.
     stopping: bool,
 }
 
 impl Run {
     fn context(&self) -> u64 {
-        u64::from(self.offer.prompt_tokens) + u64::from(self.done)
+        u64::from(self.offer.prompt_tokens) + u64::from(self.generated)
     }
 
-    /// A plain call brings no tokens, so its silence says nothing.
+    /// True when the run yields tokens. A plain call does not, so stall detection does
+    /// not apply to it.
     fn streams(&self) -> bool {
         self.offer.max_tokens > 0
     }
 }
 
-/// What runs, counted, so that no decision has to go through all runs.
+/// Totals over all runs, so that no decision has to iterate over them.
 #[derive(Clone, Copy, Debug, Default)]
 struct Count {
     online: u32,
     batch: u32,
-    /// Questions whose first token has not come.
-    online_computing: u32,
-    /// Batch items whose first token has not come.
-    batch_computing: u32,
-    /// Batch items that were told to stop.
+    /// Online requests that have no token yet.
+    online_prefilling: u32,
+    /// Batch items that have no token yet.
+    batch_prefilling: u32,
+    /// Batch items that are being preempted.
     stopping: u32,
-    /// Tokens of prompts that are being computed.
+    /// Tokens of prompts that are being prefilled.
     prompt_tokens: u32,
-    /// Tokens in KV memory, by our count.
+    /// Tokens in the KV cache, by this node's count.
     context: u64,
-    /// Runs that bring tokens.
+    /// Runs that yield tokens.
     streams: u32,
 }
 
@@ -68,41 +69,41 @@
     setting: Setting,
     policy: Policy,
     tolerance: Tolerance,
-    online: Line,
-    batch: Line,
+    online: Backlog,
+    batch: Backlog,
     runs: BTreeMap<Id, Run>,
     count: Count,
-    pace: Pace,
+    estimator: Estimator,
     health: Health,
-    last_question: Time,
-    /// When a batch item was last started.
-    last_item: Time,
+    last_online: Time,
+    /// When the last batch item was started.
+    last_batch_start: Time,
 }
 
 impl Queue {
-    /// An empty queue before an idle endpoint.
+    /// Creates an empty queue for an idle endpoint, with the default policy.
     pub fn new(now: Time, setting: Setting) -> Self {
         Self::with_policy(now, setting, Policy::default())
     }
 
-    /// The same with another way of admitting batch work.
+    /// Creates an empty queue with the given policy for batch work.
     pub fn with_policy(now: Time, setting: Setting, policy: Policy) -> Self {
         Self {
             setting,
             policy,
             tolerance: Tolerance::new(setting.latency_weight),
-            online: Line::default(),
-            batch: Line::default(),
+            online: Backlog::default(),
+            batch: Backlog::default(),
             runs: BTreeMap::new(),
             count: Count::default(),
-            pace: Pace::default(),
+            estimator: Estimator::default(),
             health: Health::new(now),
-            last_question: Time::ZERO,
-            last_item: Time::ZERO,
+            last_online: Time::ZERO,
+            last_batch_start: Time::ZERO,
         }
     }
 
-    /// Takes one input and appends what must be done to `actions`.
+    /// Processes one input and appends the resulting actions to `actions`.
     pub fn step(&mut self, now: Time, input: Input, actions: &mut Vec<Action>) {
         match input {
             Input::Offer(offer) => self.offer(now, offer, actions),
@@ -115,32 +116,37 @@
             Input::Ended { id, end } => self.ended(now, id, end, actions),
             Input::Withdraw { id } => self.withdraw(id, actions),
             Input::Setting(setting) => self.configure(setting, actions),
-            Input::Report(report) => self.pace.report(&report, self.count.context),
+            Input::Report(report) => self.estimator.record_report(&report, self.count.context),
             Input::Tick => {
                 self.health.state(now);
             }
         }
         self.expire(now, actions);
-        self.watch(now, actions);
+        self.detect_stall(now, actions);
         self.admit(now, actions);
     }
 
-    /// The setting in force.
+    /// Returns the current setting.
     pub fn setting(&self) -> Setting {
         self.setting
     }
 
-    /// When the next [`Input::Tick`] is due, if nothing else happens before.
+    /// Returns when the next [`Input::Tick`] is due, if no other input comes before.
     pub fn wake(&self) -> Option<Time> {
-        let stuck = (self.count.streams > 0).then(|| self.stuck_at());
-        let trial = self.health.wake();
-        let due = [self.online.deadline(), self.batch.deadline(), stuck, trial];
+        let stall = (self.count.streams > 0).then(|| self.stall_deadline());
+        let half_open = self.health.wake();
+        let due = [
+            self.online.deadline(),
+            self.batch.deadline(),
+            stall,
+            half_open,
+        ];
         due.into_iter().flatten().min()
     }
 
-    /// How busy the endpoint is.
+    /// Returns the load of the endpoint.
     pub fn load(&self) -> Load {
-        let micros = self.pace.mean_first_token().as_micros();
+        let micros = self.estimator.mean_first_token().as_micros();
         Load {
             online: self.count.online,
             batch: self.count.batch,
@@ -163,13 +169,13 @@
         let entry = Entry {
             offer,
             arrived: now,
-            done: 0,
-            ran: false,
+            generated: 0,
+            has_run: false,
         };
-        let bound = self.bound(class);
+        let bound = self.max_waiting(class);
         let dropped = match class {
             Class::Online => {
-                self.last_question = now;
+                self.last_online = now;
                 self.online.push(entry, bound)
             }
             Class::Batch => self.batch.push(entry, bound),
@@ -184,52 +190,53 @@
         let Some(run) = self.runs.get_mut(&id) else {
             return;
         };
-        self.health.heard(now);
-        run.done += count;
+        self.health.record_progress(now);
+        run.generated += count;
         self.count.context += u64::from(count);
-        let first = run.computing;
+        let first = run.prefilling;
         if first {
-            run.computing = false;
-            self.count.computed(run);
-            if run.offer.class == Class::Online && run.done == count {
-                self.pace.first_token(now.since(run.arrived));
+            run.prefilling = false;
+            self.count.prefill_done(run);
+            if run.offer.class == Class::Online && run.generated == count {
+                self.estimator.record_first_token(now.since(run.arrived));
             }
         }
-        let computing = self.count.online_computing + self.count.batch_computing;
+        let prefilling = self.count.online_prefilling + self.count.batch_prefilling;
         let running = self.count.online + self.count.batch;
-        let decoding = running.saturating_sub(computing);
-        let prompts = computing > 0 || first;
-        self.pace.token(now, decoding, self.count.online, prompts);
+        let decoding = running.saturating_sub(prefilling);
+        let prompts = prefilling > 0 || first;
+        self.estimator
+            .record_token(now, decoding, self.count.online, prompts);
     }
 
     fn ended(&mut self, now: Time, id: Id, end: End, actions: &mut Vec<Action>) {
-        let Some(run) = self.take(id) else {
+        let Some(run) = self.remove_run(id) else {
             return;
         };
         match end {
-            End::Complete => self.health.heard(now),
+            End::Complete => self.health.record_progress(now),
             End::Failed | End::Refused => {
-                if self.health.failed(now) {
-                    self.clear(now, actions);
+                if self.health.record_failure(now) {
+                    self.abandon_all(now, actions);
                 }
             }
             End::Stopped => {
                 let entry = Entry {
                     offer: run.offer,
                     arrived: run.arrived,
-                    done: run.done,
-                    ran: true,
+                    generated: run.generated,
+                    has_run: true,
                 };
                 match entry.offer.class {
-                    Class::Online => self.online.resume(entry),
-                    Class::Batch => self.batch.resume(entry),
+                    Class::Online => self.online.requeue(entry),
+                    Class::Batch => self.batch.requeue(entry),
                 }
             }
         }
     }
 
     fn withdraw(&mut self, id: Id, actions: &mut Vec<Action>) {
-        if self.take(id).is_some() {
+        if self.remove_run(id).is_some() {
             actions.push(Action::Stop { id });
             return;
         }
@@ -241,12 +248,12 @@
         self.setting = setting;
         self.tolerance = Tolerance::new(setting.latency_weight);
         if setting.closed {
-            // What waits is told at once: its requester can go elsewhere now.
-            self.empty(Reason::NoEndpoint, CLOSED_RETRY, actions);
+            // Refused at once, so that the requesters can retry elsewhere.
+            self.refuse_waiting(Reason::NoEndpoint, CLOSED_RETRY, actions);
         }
     }
 
-    /// Refuses what can't be answered in time any more.
+    /// Refuses waiting requests whose deadline has passed.
     fn expire(&mut self, now: Time, actions: &mut Vec<Action>) {
         let late = |entry: &Entry| entry.offer.deadline <= now;
         let first = [self.online.deadline(), self.batch.deadline()];
@@ -260,44 +267,44 @@
         }
     }
 
-    /// Gives up on an endpoint that is silent while it should generate.
-    fn watch(&mut self, now: Time, actions: &mut Vec<Action>) {
-        let stuck_at = self.stuck_at();
-        if self.count.streams > 0 && self.health.is_stuck(now, stuck_at) {
-            self.health.close(now);
-            self.clear(now, actions);
+    /// Trips the circuit breaker of an endpoint that should generate tokens but does not.
+    fn detect_stall(&mut self, now: Time, actions: &mut Vec<Action>) {
+        let stall_deadline = self.stall_deadline();
+        if self.count.streams > 0 && self.health.is_stalled(now, stall_deadline) {
+            self.health.trip(now);
+            self.abandon_all(now, actions);
         }
     }
 
-    /// The endpoint is closed: what runs and what waits may go elsewhere.
-    fn clear(&mut self, now: Time, actions: &mut Vec<Action>) {
+    /// Abandons what runs and refuses what waits, so that both can be retried elsewhere.
+    fn abandon_all(&mut self, now: Time, actions: &mut Vec<Action>) {
         let wait = self.health.retry_after(now).unwrap_or(MIN_RETRY);
         for (id, _) in std::mem::take(&mut self.runs) {
             let refusal = Refusal::new(Reason::EndpointFailed).after(wait);
             actions.push(Action::Abandon { id, refusal });
         }
         self.count = Count::default();
-        self.pace.idle();
-        self.empty(Reason::NoEndpoint, wait, actions);
+        self.estimator.idle();
+        self.refuse_waiting(Reason::NoEndpoint, wait, actions);
     }
 
-    fn empty(&mut self, reason: Reason, wait: Duration, actions: &mut Vec<Action>) {
+    fn refuse_waiting(&mut self, reason: Reason, wait: Duration, actions: &mut Vec<Action>) {
         let online = self.online.drain_where(|_| true);
         for entry in online.into_iter().chain(self.batch.drain_where(|_| true)) {
             drop_entry(&entry, Refusal::new(reason).after(wait), actions);
         }
     }
 
-    fn stuck_at(&self) -> Time {
-        self.health.stuck_at(self.count.prompt_tokens)
+    fn stall_deadline(&self) -> Time {
+        self.health.stall_deadline(self.count.prompt_tokens)
     }
 
-    fn take(&mut self, id: Id) -> Option<Run> {
+    fn remove_run(&mut self, id: Id) -> Option<Run> {
         let run = self.runs.remove(&id)?;
         self.count.remove(&run);
         if self.runs.is_empty() {
             self.health.idle();
-            self.pace.idle();
+            self.estimator.idle();
         }
         Some(run)
     }
@@ -313,23 +320,23 @@
         }) += 1;
         if run.streams() {
             *(if online {
-                &mut self.online_computing
+                &mut self.online_prefilling
             } else {
-                &mut self.batch_computing
+                &mut self.batch_prefilling
             }) += 1;
         }
-        self.prompt_tokens += run.offer.prompt_tokens + run.done;
+        self.prompt_tokens += run.offer.prompt_tokens + run.generated;
         self.context += run.context();
         self.streams += u32::from(run.streams());
     }
 
-    fn computed(&mut self, run: &Run) {
-        let computing = match run.offer.class {
-            Class::Online => &mut self.online_computing,
-            Class::Batch => &mut self.batch_computing,
+    fn prefill_done(&mut self, run: &Run) {
+        let prefilling = match run.offer.class {
+            Class::Online => &mut self.online_prefilling,
+            Class::Batch => &mut self.batch_prefilling,
         };
-        *computing = computing.saturating_sub(1);
-        let tokens = run.offer.prompt_tokens + run.done;
+        *prefilling = prefilling.saturating_sub(1);
+        let tokens = run.offer.prompt_tokens + run.generated;
         self.prompt_tokens = self.prompt_tokens.saturating_sub(tokens);
     }
 
@@ -339,24 +346,24 @@
             Class::Batch => &mut self.batch,
         };
         *running = running.saturating_sub(1);
-        if run.computing && run.streams() {
-            self.computed(run);
+        if run.prefilling && run.streams() {
+            self.prefill_done(run);
         }
         self.stopping -= u32::from(run.stopping);
         self.context = self.context.saturating_sub(run.context());
         self.streams = self.streams.saturating_sub(u32::from(run.streams()));
         if self.online + self.batch == 0 {
-            // Estimates that were rounded must not add up over days.
+            // Keeps rounding errors of the estimates from accumulating over days.
             (self.prompt_tokens, self.context) = (0, 0);
         }
     }
 }
 
-/// Tells the requester of something that waited, truly: what was stopped has
-/// been at the endpoint and may have run.
+/// Refuses a waiting request. One that was preempted has been sent to the endpoint,
+/// so it is reported as possibly run.
 fn drop_entry(entry: &Entry, refusal: Refusal, actions: &mut Vec<Action>) {
     let id = entry.offer.id;
-    actions.push(if entry.ran {
+    actions.push(if entry.has_run {
         Action::Abandon { id, refusal }
     } else {
         Action::Refuse { id, refusal }
--- a/src/dispatch/run.rs
+++ b/src/dispatch/run.rs
@@ -12,17 +12,17 @@
 use crate::outcome::{Outcome, Reason, Refusal};
 use crate::request::{Answer, Body, Piece, Request};
 
-/// How far an answer has come over all its runs.
+/// Progress of an answer over all of its runs.
 #[derive(Clone, Debug, Default)]
 pub struct Progress {
-    /// Tokens so far, those before the request came here included.
+    /// Tokens so far, including those received before the request came here.
     pub tokens: u32,
     /// Their text.
     pub text: String,
 }
 
 impl Progress {
-    /// The progress that a request arrives with.
+    /// Returns the progress that a request arrives with.
     pub fn resumed(request: &Request) -> Self {
         Self {
             tokens: request.resume_from,
@@ -30,10 +30,10 @@
         }
     }
 
-    /// Takes a piece if it is the next one.
+    /// Appends a piece if it continues the answer. Returns false otherwise.
     ///
-    /// An engine that repeats or skips tokens after a resume would otherwise
-    /// reach the caller as a doubled or torn answer.
+    /// This keeps tokens that an engine repeats or skips after a resume from
+    /// corrupting the answer.
     pub fn take(&mut self, piece: &Piece) -> bool {
         if piece.offset != self.tokens {
             return false;
@@ -44,7 +44,7 @@
     }
 }
 
-/// Where a request goes, or nothing when its service is not configured.
+/// Returns the target of a request, or `None` when its service is not configured.
 pub fn target(config: &Document, endpoint: &str, request: &Request) -> Option<Target> {
     let endpoint = config.endpoints.get(endpoint)?;
     let service = config.services.get(&request.service)?;
@@ -59,7 +59,7 @@
     })
 }
 
-/// Runs a request to its end, or until `left` has passed.
+/// Runs a request to completion, or until `left` has passed.
 pub async fn run<F>(
     client: &awc::Client,
     target: &Target,
@@ -125,8 +125,8 @@
         if progress.borrow_mut().take(&piece) {
             let load = tokens(piece.tokens);
             let load = first.replace(false).then_some(load);
-            // A slow reader stops its own stream here, and so its own engine
-            // connection.
+            // A slow reader blocks only its own stream, and with it its connection
+            // to the engine.
             let _ = reply.send(Event::Piece(piece, load)).await;
         }
     })
--- a/src/dispatch/shell.rs
+++ b/src/dispatch/shell.rs
@@ -1,8 +1,8 @@
-//! Acts on what the queues decide: runs requests at endpoints, passes their
-//! answers on, and tells the queues what happened.
+//! Executes the decisions of the queues: runs requests at endpoints, forwards
+//! their answers and feeds events back into the queues.
 //!
-//! One shell lives on each traffic thread and owns the dispatchers of the
-//! endpoints that hash to it, so nothing here is locked.
+//! There is one shell per traffic thread. It owns the dispatchers of the
+//! endpoints that hash to that thread, so no locks are needed.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -34,13 +34,13 @@
 use crate::request::{Answer, Body, Request};
 use crate::snapshot;
 
-/// How often the shell looks for due work when no queue names a time.
+/// Longest interval between ticks of the queues.
 const IDLE_TICK: Duration = Duration::from_millis(100);
-/// How fresh the published loads are.
-const PUBLISH_EVERY: Duration = Duration::from_millis(20);
-/// Most time for a connection that only tells whether an endpoint's process runs.
-const PROBE: Duration = Duration::from_millis(60);
-/// Characters that make up a token, roughly, for estimates of prompts.
+/// Interval between publications of the loads.
+const PUBLISH_INTERVAL: Duration = Duration::from_millis(20);
+/// Timeout of the connection attempt that checks whether an endpoint's process runs.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(60);
+/// Approximate number of characters in a token, to estimate prompt lengths.
 const CHARS_PER_TOKEN: usize = 4;
 
 /// The dispatchers of one thread.
@@ -52,7 +52,7 @@
     quarantine: quarantine::Handle,
     client: awc::Client,
     state: RefCell<State>,
-    /// Wakes the timer when an earlier time became due.
+    /// Wakes the main loop when a queue may have an earlier timer.
     changed: Notify,
     loads: Arc<snapshot::Cell<Loads>>,
     published: Cell<Time>,
@@ -61,16 +61,17 @@
 #[derive(Default)]
 struct State {
     last_id: Id,
-    stands: HashMap<Name, Stand>,
+    dispatchers: HashMap<Name, Dispatcher>,
 }
 
 /// One endpoint's queue and the requests it holds.
-struct Stand {
+struct Dispatcher {
     queue: Queue,
     setting: Setting,
     entries: HashMap<Id, Entry>,
-    /// When its process seems to have ended, in Unix milliseconds, which tells its
-    /// ends apart; none while it answers.
+    /// When its process seems to have ended, in Unix milliseconds; `None` while it
+    /// answers. It identifies the crash, so that all runs lost in one crash are
+    /// attributed to the same one.
     outage: Option<u64>,
 }
 
@@ -80,17 +81,17 @@
     progress: Rc<RefCell<Progress>>,
     reply: mpsc::Sender<Event>,
     run: Option<JoinHandle<()>>,
-    /// Times it was sent to the endpoint.
+    /// Number of times that it was sent to the endpoint.
     runs: u32,
-    /// Ends the request when its requester goes away.
-    watch: JoinHandle<()>,
-    /// Keeps the node from stopping before the request has ended.
+    /// Withdraws the request when its requester disconnects.
+    watcher: JoinHandle<()>,
+    /// Keeps the node running until the request has ended.
     _work: Guard,
 }
 
 impl Drop for Entry {
     fn drop(&mut self) {
-        self.watch.abort();
+        self.watcher.abort();
         if let Some(run) = self.run.take() {
             run.abort();
         }
@@ -98,8 +99,8 @@
 }
 
 impl Shell {
-    /// A shell without dispatchers; they appear with the first request for
-    /// their endpoint.
+    /// Creates a shell without dispatchers. The first request for an endpoint
+    /// creates its dispatcher.
     pub fn new(shared: &Shared, loads: Arc<snapshot::Cell<Loads>>) -> Rc<Self> {
         Rc::new(Self {
             clock: shared.clock,
@@ -115,45 +116,52 @@
         })
     }
 
-    /// Serves requests until the other end of `submits` is gone.
+    /// Serves requests until `submits` is closed.
     pub async fn run(self: Rc<Self>, mut submits: mpsc::Receiver<Submit>) {
         loop {
             let now = self.clock.now();
             self.publish(now);
-            let due = self.due().unwrap_or(now + IDLE_TICK).min(now + IDLE_TICK);
+            let next_wakeup = self
+                .next_wakeup()
+                .unwrap_or(now + IDLE_TICK)
+                .min(now + IDLE_TICK);
             tokio::select! {
                 submit = submits.recv() => match submit {
                     Some(submit) => self.submit(submit),
                     None => return,
                 },
                 () = self.changed.notified() => {}
-                () = actix_rt::time::sleep(due.since(now)) => self.tick(),
+                () = actix_rt::time::sleep(next_wakeup.since(now)) => self.tick(),
             }
         }
     }
 
-    /// Publishes the loads now and then: readers on other threads need them
-    /// fresh, but not for every token.
+    /// Publishes the loads at most once per [`PUBLISH_INTERVAL`]. Readers on other
+    /// threads need recent values, but not an update per token.
     fn publish(&self, now: Time) {
-        if now.since(self.published.get()) < PUBLISH_EVERY {
+        if now.since(self.published.get()) < PUBLISH_INTERVAL {
             return;
         }
         self.published.set(now);
         let state = self.state.borrow();
-        let loads = state.stands.iter();
-        let loads = loads.map(|(name, stand)| (name.clone(), stand.queue.load()));
+        let loads = state.dispatchers.iter();
+        let loads = loads.map(|(name, dispatcher)| (name.clone(), dispatcher.queue.load()));
         self.loads.publish(loads.collect());
     }
 
-    fn due(&self) -> Option<Time> {
+    fn next_wakeup(&self) -> Option<Time> {
         let state = self.state.borrow();
-        state.stands.values().filter_map(|s| s.queue.wake()).min()
+        state
+            .dispatchers
+            .values()
+            .filter_map(|s| s.queue.wake())
+            .min()
     }
 
     fn tick(self: &Rc<Self>) {
         let now = self.clock.now();
         let serving = **self.phase.read() == Phase::Serving;
-        let names: Vec<Name> = self.state.borrow().stands.keys().cloned().collect();
+        let names: Vec<Name> = self.state.borrow().dispatchers.keys().cloned().collect();
         for name in names {
             if !serving {
                 self.hand_over(&name);
@@ -163,12 +171,15 @@
         }
     }
 
-    /// Gives back what waits, so that its gateways go to the endpoint's next
-    /// dispatcher; what runs at the endpoint goes on.
+    /// Refuses the waiting requests, so that their gateways retry at the endpoint's
+    /// next dispatcher. Running requests continue.
     fn hand_over(self: &Rc<Self>, name: &Name) {
         let waiting: Vec<Id> = {
             let state = self.state.borrow();
-            let entries = state.stands.get(name).map(|stand| &stand.entries);
+            let entries = state
+                .dispatchers
+                .get(name)
+                .map(|dispatcher| &dispatcher.entries);
             let entries = entries.into_iter().flatten();
             let waiting = entries.filter(|(_, entry)| entry.run.is_none());
             waiting.map(|(id, _)| *id).collect()
@@ -176,20 +187,20 @@
         for id in waiting {
             self.feed(name, self.clock.now(), Input::Withdraw { id });
             let refusal = Refusal::new(Reason::NotReady).after(IDLE_TICK);
-            self.end(name, id, 0, Outcome::NotRun(refusal));
+            self.reply_end(name, id, 0, Outcome::NotRun(refusal));
         }
     }
 
-    /// Tells a queue when the configuration of its endpoint has changed.
+    /// Updates a queue when the configuration of its endpoint has changed.
     fn follow_config(self: &Rc<Self>, name: &Name) {
         let setting = setting_of(&self.force.read().document, name);
         let changed = {
             let mut state = self.state.borrow_mut();
-            let Some(stand) = state.stands.get_mut(name) else {
+            let Some(dispatcher) = state.dispatchers.get_mut(name) else {
                 return;
             };
-            let changed = stand.setting != setting;
-            stand.setting = setting;
+            let changed = dispatcher.setting != setting;
+            dispatcher.setting = setting;
             changed
         };
         if changed {
@@ -206,14 +217,14 @@
         } = submit;
         let force = self.force.read();
         let refused = if **self.phase.read() != Phase::Serving {
-            // A gateway that has not heard yet that this node leaves: the
+            // The gateway has not yet learnt that this node is leaving and that the
             // endpoint has another dispatcher.
             Some(Reason::NotReady)
         } else if !force.is_valid(now) {
-            // What this node knows may be superseded: it starts nothing by it.
+            // This node's configuration may be superseded, so it must not be acted on.
             Some(Reason::NotReady)
         } else if !force.document.endpoints.contains_key(&endpoint) {
-            // The gateway knows a newer or older configuration than this node.
+            // The gateway has a newer or older configuration than this node.
             Some(Reason::NoEndpoint)
         } else {
             None
@@ -223,12 +234,12 @@
             let _ = reply.try_send(Event::End(Outcome::NotRun(refusal), Load::default()));
             return;
         }
-        let offer = self.enter(now, &endpoint, request, reply);
+        let offer = self.register(now, &endpoint, request, reply);
         self.follow_config(&endpoint);
         self.feed(&endpoint, now, Input::Offer(offer));
     }
 
-    fn enter(
+    fn register(
         self: &Rc<Self>,
         now: Time,
         endpoint: &Name,
@@ -241,10 +252,10 @@
         let id = state.last_id;
         let deadline = now + request.time_left;
         let offer = offer_of(id, deadline, &request);
-        let stand = state
-            .stands
+        let dispatcher = state
+            .dispatchers
             .entry(endpoint.clone())
-            .or_insert_with(|| Stand {
+            .or_insert_with(|| Dispatcher {
                 queue: Queue::new(now, setting),
                 setting,
                 entries: HashMap::new(),
@@ -255,18 +266,18 @@
             request: Rc::new(request),
             deadline,
             progress: Rc::new(RefCell::new(progress)),
-            watch: self.watch(endpoint, id, reply.clone()),
+            watcher: self.watch_requester(endpoint, id, reply.clone()),
             reply,
             run: None,
             runs: 0,
             _work: self.work.begin(),
         };
-        stand.entries.insert(id, entry);
+        dispatcher.entries.insert(id, entry);
         offer
     }
 
-    /// A requester that went away must not use a slot any longer.
-    fn watch(
+    /// Withdraws the request when its requester disconnects, which frees its slot.
+    fn watch_requester(
         self: &Rc<Self>,
         endpoint: &Name,
         id: Id,
@@ -277,26 +288,26 @@
         actix_rt::spawn(async move {
             reply.closed().await;
             shell.feed(&endpoint, shell.clock.now(), Input::Withdraw { id });
-            shell.forget(&endpoint, id);
+            shell.remove_entry(&endpoint, id);
         })
     }
 
-    /// Hands an input to a queue and does what it answers.
+    /// Feeds an input to a queue and executes the resulting actions.
     fn feed(self: &Rc<Self>, endpoint: &Name, now: Time, input: Input) {
         let mut actions = Vec::new();
-        if let Some(stand) = self.state.borrow_mut().stands.get_mut(endpoint) {
-            stand.queue.step(now, input, &mut actions);
+        if let Some(dispatcher) = self.state.borrow_mut().dispatchers.get_mut(endpoint) {
+            dispatcher.queue.step(now, input, &mut actions);
         }
         for action in actions {
             match action {
                 Action::Start { id } => self.start(endpoint, id),
                 Action::Stop { id } => self.stop(endpoint, id),
                 Action::Refuse { id, refusal } => {
-                    self.end(endpoint, id, 0, Outcome::NotRun(refusal));
+                    self.reply_end(endpoint, id, 0, Outcome::NotRun(refusal));
                 }
                 // Dropping the entry cancels its run.
                 Action::Abandon { id, refusal } => {
-                    self.end(endpoint, id, 0, Outcome::MayHaveRun(refusal));
+                    self.reply_end(endpoint, id, 0, Outcome::MayHaveRun(refusal));
                 }
             }
         }
@@ -308,9 +319,9 @@
         let name = endpoint.clone();
         let mut state = self.state.borrow_mut();
         let Some(entry) = state
-            .stands
+            .dispatchers
             .get_mut(endpoint)
-            .and_then(|stand| stand.entries.get_mut(&id))
+            .and_then(|dispatcher| dispatcher.entries.get_mut(&id))
         else {
             return;
         };
@@ -320,7 +331,7 @@
         let deadline = entry.deadline;
         let Some(target) = run::target(&self.force.read().document, endpoint, &request) else {
             drop(state);
-            // The service left the configuration while the request waited.
+            // The service was removed from the configuration while the request waited.
             actix_rt::spawn(async move { shell.abandon(&name, id) });
             return;
         };
@@ -329,11 +340,13 @@
             let began = shell.clock.now();
             let left = deadline.since(began);
             let tokens = |count| {
-                shell.answers(&name);
+                shell.mark_reachable(&name);
                 shell.feed(&name, shell.clock.now(), Input::Tokens { id, count });
                 let state = shell.state.borrow();
-                let stand = state.stands.get(&name);
-                stand.map(|stand| stand.queue.load()).unwrap_or_default()
+                let dispatcher = state.dispatchers.get(&name);
+                dispatcher
+                    .map(|dispatcher| dispatcher.queue.load())
+                    .unwrap_or_default()
             };
             let running = run::run(
                 &shell.client,
@@ -348,22 +361,24 @@
             if let Outcome::MayHaveRun(refusal) = &mut outcome
                 && refusal.reason == Reason::EndpointFailed
             {
-                refusal.crash = shell.look_into(&name, &target, &request, began).await;
+                refusal.crash = shell
+                    .diagnose_failure(&name, &target, &request, began)
+                    .await;
             }
             shell.finish(&name, id, outcome, end);
         }));
     }
 
-    /// The endpoint sends tokens, so its process runs.
-    fn answers(&self, endpoint: &Name) {
-        if let Some(stand) = self.state.borrow_mut().stands.get_mut(endpoint) {
-            stand.outage = None;
+    /// Clears the outage of an endpoint that sends tokens, as its process runs.
+    fn mark_reachable(&self, endpoint: &Name) {
+        if let Some(dispatcher) = self.state.borrow_mut().dispatchers.get_mut(endpoint) {
+            dispatcher.outage = None;
         }
     }
 
-    /// Before it is run elsewhere, it must be known whether a request ended the process
-    /// that ran it.
-    async fn look_into(
+    /// Determines whether the process that ran a failed request has crashed, and
+    /// reports the crash to the quarantine before the request is retried elsewhere.
+    async fn diagnose_failure(
         &self,
         name: &Name,
         target: &Target,
@@ -372,14 +387,15 @@
     ) -> Option<Crash> {
         let ran = self.clock.now().since(began);
         let address = target.address.parse().ok()?;
-        // Told before the look: others that ended with it must be of the same end.
+        // Set before the probe, so that runs lost at the same time are attributed to the
+        // same crash.
         let incarnation = {
             let mut state = self.state.borrow_mut();
-            let stand = state.stands.get_mut(name)?;
-            *stand.outage.get_or_insert_with(unix_millis)
+            let dispatcher = state.dispatchers.get_mut(name)?;
+            *dispatcher.outage.get_or_insert_with(unix_millis)
         };
         let print = request.fingerprint();
-        let listener = connect::probe(address, PROBE).await;
+        let listener = connect::probe(address, PROBE_TIMEOUT).await;
         log::info!(
             "{} id={} print={print} endpoint={name} incarnation={incarnation} ran_ms={} why=broken listener={listener:?} entry=Ready",
             event::RUN_LOST,
@@ -398,14 +414,14 @@
         Some(crash)
     }
 
-    /// Cancels a run; what it generated stays for the next start.
+    /// Cancels a run and keeps what it generated for the next start.
     fn stop(self: &Rc<Self>, endpoint: &Name, id: Id) {
         let run = {
             let mut state = self.state.borrow_mut();
             let entry = state
-                .stands
+                .dispatchers
                 .get_mut(endpoint)
-                .and_then(|stand| stand.entries.get_mut(&id));
+                .and_then(|dispatcher| dispatcher.entries.get_mut(&id));
             entry.and_then(|entry| entry.run.take())
         };
         if let Some(run) = run {
@@ -425,56 +441,63 @@
     }
 
     fn finish(self: &Rc<Self>, endpoint: &Name, id: Id, outcome: Outcome<Answer>, end: End) {
-        if let Some(stand) = self.state.borrow_mut().stands.get_mut(endpoint)
-            && let Some(entry) = stand.entries.get_mut(&id)
+        if let Some(dispatcher) = self.state.borrow_mut().dispatchers.get_mut(endpoint)
+            && let Some(entry) = dispatcher.entries.get_mut(&id)
         {
-            // This is the run itself: it must not abort itself half way.
+            // This code executes within the run's own task, which must not abort itself.
             entry.run = None;
         }
         self.feed(endpoint, self.clock.now(), Input::Ended { id, end });
-        // The first run itself can prove that nothing reached the endpoint.
-        self.end(endpoint, id, 1, outcome);
+        // The outcome of a first run proves whether the endpoint received anything, so
+        // that run does not turn `NotRun` into `MayHaveRun`.
+        self.reply_end(endpoint, id, 1, outcome);
     }
 
     fn abandon(self: &Rc<Self>, endpoint: &Name, id: Id) {
         self.feed(endpoint, self.clock.now(), Input::Withdraw { id });
         let refusal = Refusal::new(Reason::UnknownService);
-        self.end(endpoint, id, 0, Outcome::NotRun(refusal));
+        self.reply_end(endpoint, id, 0, Outcome::NotRun(refusal));
     }
 
-    /// Gives the requester the last word.
+    /// Sends the final outcome to the requester.
     ///
-    /// A request that was stopped and refused later did reach the endpoint,
-    /// although the queue that refuses it has nothing running: with more than
-    /// `innocent` runs it is never said to have not run.
-    fn end(self: &Rc<Self>, endpoint: &Name, id: Id, innocent: u32, outcome: Outcome<Answer>) {
+    /// A request that was preempted and refused later did reach the endpoint,
+    /// although it is not running when the queue refuses it. With more than
+    /// `unproven_runs` runs it is therefore never reported as not run.
+    fn reply_end(
+        self: &Rc<Self>,
+        endpoint: &Name,
+        id: Id,
+        unproven_runs: u32,
+        outcome: Outcome<Answer>,
+    ) {
         let (entry, load) = {
             let mut state = self.state.borrow_mut();
-            let Some(stand) = state.stands.get_mut(endpoint) else {
+            let Some(dispatcher) = state.dispatchers.get_mut(endpoint) else {
                 return;
             };
-            let load = stand.queue.load();
-            (stand.entries.remove(&id), load)
+            let load = dispatcher.queue.load();
+            (dispatcher.entries.remove(&id), load)
         };
         let Some(entry) = entry else { return };
         let outcome = match outcome {
-            Outcome::NotRun(refusal) if entry.runs > innocent => Outcome::MayHaveRun(refusal),
+            Outcome::NotRun(refusal) if entry.runs > unproven_runs => Outcome::MayHaveRun(refusal),
             other => other,
         };
         let reply = entry.reply.clone();
         let event = Event::End(outcome, load);
         if let Err(mpsc::error::TrySendError::Full(event)) = reply.try_send(event) {
-            // The reader is behind; only this stream waits for it.
+            // The reader is slow; the send waits in a task of its own.
             actix_rt::spawn(async move {
                 let _ = reply.send(event).await;
             });
         }
     }
 
-    fn forget(self: &Rc<Self>, endpoint: &Name, id: Id) {
+    fn remove_entry(self: &Rc<Self>, endpoint: &Name, id: Id) {
         let mut state = self.state.borrow_mut();
-        if let Some(stand) = state.stands.get_mut(endpoint) {
-            stand.entries.remove(&id);
+        if let Some(dispatcher) = state.dispatchers.get_mut(endpoint) {
+            dispatcher.entries.remove(&id);
         }
     }
 }
@@ -502,7 +525,7 @@
 fn offer_of(id: Id, deadline: Time, request: &Request) -> Offer {
     let (prompt_tokens, max_tokens) = match &request.body {
         Body::Prompt { prompt, max_tokens } => (prompt.len() / CHARS_PER_TOKEN, *max_tokens),
-        // A call brings no tokens, so its silence must not count as stuck.
+        // A call yields no tokens, so it must not be subject to stall detection.
         Body::Call { .. } => (0, 0),
     };
     Offer {
--- a/tests/dispatch_queue.rs
+++ b/tests/dispatch_queue.rs
@@ -48,7 +48,7 @@
         self.input(Input::Offer(offer(self.now, id, class, organisation)))
     }
 
-    /// Passes `steps` steps in which every running request gets a token.
+    /// Runs `steps` decoding steps, in which every running request gets a token.
     fn generate(&mut self, steps: u64) -> Vec<Action> {
         let mut all = Vec::new();
         for _ in 0..steps {
@@ -65,7 +65,7 @@
         self.input(Input::Ended { id, end })
     }
 
-    /// Keeps the batch line filled and lets time pass until all room is used.
+    /// Offers batch items until the queue accepts no more.
     fn fill(&mut self, from: Id) {
         for id in from..from + u64::from(SLOTS) {
             if self.queue.load().room > 0 {
@@ -132,8 +132,8 @@
 }
 
 #[gtest]
-fn idle_filled() {
-    // Nobody asks anything. Idle seconds are what batch work lives on.
+fn idle_endpoint_filled() {
+    // Without online requests, batch work must be able to use the whole endpoint.
     let mut env = Env::new(80);
     env.fill(1);
     expect_that!(env.queue.load().batch, ge(SLOTS - 4));
@@ -141,25 +141,25 @@
 
 #[gtest]
 fn burst_starts_at_once() {
-    // Batch work fills the endpoint when a burst of questions arrives. Were it
-    // left to run, the questions would wait until some of it ended.
+    // A burst of online requests arrives while batch work fills the endpoint.
+    // Without preemption they would wait until batch items end.
     let mut env = Env::new(80);
     env.fill(1);
-    let mut asked = Vec::new();
+    let mut started_online = Vec::new();
     for id in 100..112 {
         let actions = env.offer(id, Class::Online, "clerks");
-        asked.extend(started(&actions));
+        started_online.extend(started(&actions));
         for id in stopped(&actions) {
-            asked.extend(started(&env.end(id, End::Stopped)));
+            started_online.extend(started(&env.end(id, End::Stopped)));
         }
     }
-    expect_that!(asked, eq(&(100..112).collect::<Vec<_>>()));
+    expect_that!(started_online, eq(&(100..112).collect::<Vec<_>>()));
 }
 
 #[gtest]
 fn burst_resumes_stopped() {
-    // A batch item that was stopped goes on when the burst is over; were it
-    // forgotten, its job would never end.
+    // A preempted batch item must resume after the burst. If it were lost, its job
+    // would never end.
     let mut env = Env::new(80);
     env.fill(1);
     let mut stops = Vec::new();
@@ -184,8 +184,8 @@
 }
 
 #[gtest]
-fn burst_once_left_alone() {
-    // An item that must run at most once can't be stopped and run again.
+fn burst_once_not_stopped() {
+    // An item that must run at most once can't be preempted and run again.
     let mut env = Env::new(100);
     for id in 1..=12 {
         let mut item = offer(env.now, id, Class::Batch, "payments");
@@ -203,9 +203,9 @@
 }
 
 #[gtest]
-fn computing_batch_makes_way() {
-    // A batch prompt is being computed when a question comes. The engine would
-    // compute it to its end first.
+fn prefill_preempted_by_online() {
+    // An online request arrives during the prefill of a batch item. The engine
+    // would complete that prefill first.
     let mut env = Env::new(80);
     expect_that!(started(&env.offer(1, Class::Batch, "nightly")), eq(&[1]));
     let actions = env.offer(2, Class::Online, "clerks");
@@ -215,28 +215,28 @@
 
 #[gtest]
 fn weight_bounds_batch() {
-    // The same endpoint under the two deployments' weights.
-    let beside = |weight| {
+    // Batch concurrency at both extremes of the latency weight.
+    let batch_at = |weight| {
         let mut env = Env::new(weight);
         env.offer(900, Class::Online, "clerks");
         for id in 1..200 {
             if env.queue.load().room > 0 {
                 env.offer(id, Class::Batch, "nightly");
             }
-            // Steps grow by a millisecond with each sequence.
+            // Each sequence adds a millisecond to the step.
             env.now += Duration::from_millis(env.running.len() as u64);
             env.generate(1);
         }
         env.queue.load().batch
     };
-    expect_that!(beside(100), lt(beside(0)));
-    expect_that!(beside(0), ge(SLOTS - 6));
+    expect_that!(batch_at(100), lt(batch_at(0)));
+    expect_that!(batch_at(0), ge(SLOTS - 6));
 }
 
 #[gtest]
 fn full_refuses_at_once() {
-    // Every slot and every place in the line is taken. The next question is
-    // told at once when to come back, and waits for nothing.
+    // All slots are taken and the queue is full. The next online request must be
+    // refused at once with a retry delay.
     let mut env = Env::new(80);
     for id in 0..u64::from(2 * SLOTS) {
         expect_that!(refused(&env.offer(id, Class::Online, "a")), is_empty());
@@ -247,8 +247,8 @@
 
 #[gtest]
 fn full_drops_from_largest() {
-    // One organisation fills the line. A clerk of another one gets a place, and
-    // the newest question of the first is told to come back.
+    // One organisation fills the queue. A request of another one is still queued,
+    // and the newest request of the first is refused with a retry delay.
     let mut env = Env::new(80);
     for id in 0..u64::from(2 * SLOTS) {
         env.offer(id, Class::Online, "noisy");
@@ -262,7 +262,7 @@
 }
 
 #[gtest]
-fn deadline_hopeless_refused() {
+fn deadline_passed_refused() {
     let mut env = Env::new(80);
     let mut late = offer(env.now, 1, Class::Online, "clerks");
     late.deadline = env.now;
@@ -271,7 +271,7 @@
 }
 
 #[gtest]
-fn deadline_passes_in_line() {
+fn deadline_passes_while_waiting() {
     let mut env = Env::new(80);
     for id in 0..=u64::from(SLOTS) {
         env.offer(id, Class::Online, "a");
@@ -287,8 +287,8 @@
 
 #[gtest]
 fn closed_refuses_waiting() {
-    // An operator takes an endpoint away. What waits for it is told at once,
-    // and what runs there is left to end.
+    // An operator removes an endpoint. Its waiting requests are refused at once, and
+    // its running ones continue.
     let mut env = Env::new(80);
     for id in 0..=u64::from(SLOTS) {
         env.offer(id, Class::Online, "a");
@@ -310,8 +310,8 @@
 }
 
 #[gtest]
-fn stopped_item_not_called_unrun() {
-    // A stopped batch item waits when its endpoint closes. Part of it has run,
+fn stopped_item_reported_may_have_run() {
+    // A preempted batch item waits when its endpoint is closed. Part of it has run,
     // so it must not be reported as not run.
     let mut env = Env::new(80);
     env.offer(1, Class::Batch, "nightly");
@@ -328,8 +328,8 @@
 
 #[gtest]
 fn silent_endpoint_abandoned() {
-    // The endpoint's VM is gone and no connection breaks. Its callers would
-    // wait until their deadline; instead they go elsewhere after two seconds.
+    // The endpoint's VM is gone and no connection is reset. Callers must be able to
+    // retry elsewhere within two seconds instead of waiting until their deadline.
     let mut env = Env::new(80);
     env.offer(1, Class::Online, "clerks");
     env.generate(50);
@@ -339,7 +339,7 @@
     expect_that!(abandoned(&env.input(Input::Tick)), eq(&[1]));
     let actions = env.offer(2, Class::Online, "clerks");
     expect_that!(refused(&actions), eq(&[(2, Reason::NoEndpoint, true)]));
-    // After a pause one request tries it, and its first token opens it again.
+    // After the open time, the first token of a trial request closes the circuit breaker.
     env.now = env.queue.wake().unwrap();
     env.input(Input::Tick);
     expect_that!(started(&env.offer(3, Class::Online, "clerks")), eq(&[3]));
@@ -350,9 +350,9 @@
 
 #[gtest]
 fn paused_node_abandons_nothing() {
-    // This node was frozen for a minute while its endpoint went on. What came
-    // meanwhile is read after the first tick; were the silence taken for the
-    // endpoint's, every stream would be broken off and run again elsewhere.
+    // This node was paused for 30 s while its endpoint kept generating. The tokens
+    // are read after the first tick. If the gap were taken for a stall, every stream
+    // would be abandoned and run again elsewhere.
     let mut env = Env::new(80);
     env.offer(1, Class::Online, "clerks");
     env.generate(50);
@@ -375,9 +375,9 @@
 }
 
 #[gtest]
-fn memory_learned() {
-    // Reports tell how full the engine's memory is. Batch work stays below the
-    // brim, where the engine would throw out its youngest sequence.
+fn kv_cache_capacity_estimated() {
+    // The KV cache's capacity follows from the engine's reports. Batch work must stay
+    // below it, since the engine evicts its newest sequence on overflow.
     let mut env = Env::new(0);
     for id in 1..200 {
         if env.queue.load().room > 0 {
@@ -403,10 +403,9 @@
 }
 
 #[gtest]
-fn call_silent_not_stuck() {
-    // A plain service takes ten seconds for a call and brings no tokens. Were
-    // its silence taken for a fault, the call would be abandoned and might run
-    // twice.
+fn call_silent_not_stalled() {
+    // A plain service takes ten seconds for a call and yields no tokens. If this were
+    // taken for a stall, the call would be abandoned and might run twice.
     let mut env = Env::new(80);
     let slow = call(env.now, 1, Class::Online);
     expect_that!(started(&env.input(Input::Offer(slow))), eq(&[1]));
@@ -417,8 +416,8 @@
 }
 
 #[gtest]
-fn call_of_batch_left_alone() {
-    // A call can't be resumed; stopping it would throw its work away.
+fn call_of_batch_not_stopped() {
+    // A call can't be resumed, so preempting it would lose its work.
     let mut env = Env::new(80);
     let item = call(env.now, 1, Class::Batch);
     env.input(Input::Offer(item));
@@ -432,8 +431,8 @@
 
 #[gtest]
 fn crowded_spills() {
-    // A question waits for its first token; the next one has another endpoint
-    // to go to and is told so at once. Only one that has none is kept.
+    // While an online request waits for its first token, the next one is refused at
+    // once if it has another endpoint, and accepted otherwise.
     let mut env = Env::new(80);
     env.offer(1, Class::Online, "clerks");
     let mut second = offer(env.now, 2, Class::Online, "clerks");
--- a/tests/pool_admission.rs
+++ b/tests/pool_admission.rs
@@ -15,7 +15,7 @@
 use auburnspoke::pool::{Action, Judgement, Pool};
 use auburnspoke::quarantine::Fingerprint;
 use googletest::prelude::*;
-use support::{SLOTS, at, endpoint, key, pool, requirements};
+use support::{SLOTS, at, endpoint, key, needs, pool};
 
 /// Asks at `now` and returns what the pool does.
 fn decide(pool: &mut Pool, now: Time, seq: u64, requirements: Requirements) -> Vec<Action> {
@@ -34,13 +34,13 @@
 
 /// Fills every slot that batch work may take, as it does in a valley.
 fn fill_with_batch(pool: &mut Pool) -> u64 {
-    decide(pool, at(0), 1, requirements(Class::Batch, 1_000));
+    decide(pool, at(0), 1, needs(Class::Batch, 1_000));
     let mut seq = 2;
     while granted(&decide(
         pool,
         at(500),
         seq,
-        requirements(Class::Batch, 1_000 + seq),
+        needs(Class::Batch, 1_000 + seq),
     ))
     .is_some()
     {
@@ -53,12 +53,7 @@
 fn ask_free_slot() {
     let mut pool = pool(1);
     expect_that!(
-        granted(&decide(
-            &mut pool,
-            at(0),
-            1,
-            requirements(Class::Online, 5_000)
-        )),
+        granted(&decide(&mut pool, at(0), 1, needs(Class::Online, 5_000))),
         some(eq("e0"))
     );
 }
@@ -71,7 +66,7 @@
     let next = fill_with_batch(&mut pool) + 1;
     let mut stopped = 0;
     for seq in next..next + u64::from(2 * SLOTS) {
-        let actions = decide(&mut pool, at(510), seq, requirements(Class::Online, 5_000));
+        let actions = decide(&mut pool, at(510), seq, needs(Class::Online, 5_000));
         expect_that!(granted(&actions), some(anything()));
         stopped += actions
             .iter()
@@ -87,8 +82,8 @@
 fn stop_latest_due() {
     let mut pool = pool(1);
     let last = fill_with_batch(&mut pool) - 1;
-    decide(&mut pool, at(510), 900, requirements(Class::Online, 5_000));
-    let actions = decide(&mut pool, at(510), 901, requirements(Class::Online, 5_000));
+    decide(&mut pool, at(510), 900, needs(Class::Online, 5_000));
+    let actions = decide(&mut pool, at(510), 901, needs(Class::Online, 5_000));
     expect_that!(actions, contains(eq(&Action::Stop(key(last)))));
 }
 
@@ -98,8 +93,8 @@
 fn stop_repeated_until_obeyed() {
     let mut pool = pool(1);
     let last = fill_with_batch(&mut pool) - 1;
-    decide(&mut pool, at(510), 900, requirements(Class::Online, 5_000));
-    decide(&mut pool, at(510), 901, requirements(Class::Online, 5_000));
+    decide(&mut pool, at(510), 900, needs(Class::Online, 5_000));
+    decide(&mut pool, at(510), 901, needs(Class::Online, 5_000));
     let mut actions = Vec::new();
     pool.step(at(700), &mut actions);
     expect_that!(actions, contains(eq(&Action::Stop(key(last)))));
@@ -117,7 +112,7 @@
     let mut pool = pool(1);
     let mut refused = Vec::new();
     for seq in 0..60 {
-        for action in decide(&mut pool, at(0), seq, requirements(Class::Online, 5_000)) {
+        for action in decide(&mut pool, at(0), seq, needs(Class::Online, 5_000)) {
             if let Action::Refuse(_, after) = action {
                 refused.push(after);
             }
@@ -138,7 +133,7 @@
 fn ask_patience_over() {
     let mut pool = pool(1);
     for seq in 0..9 {
-        decide(&mut pool, at(0), seq, requirements(Class::Online, 5_000));
+        decide(&mut pool, at(0), seq, needs(Class::Online, 5_000));
     }
     let mut actions = Vec::new();
     pool.step(at(150), &mut actions);
@@ -153,14 +148,9 @@
 fn expire_gateway_gone() {
     let mut pool = pool(1);
     for seq in 0..8 {
-        decide(&mut pool, at(0), seq, requirements(Class::Online, 5_000));
+        decide(&mut pool, at(0), seq, needs(Class::Online, 5_000));
     }
-    let actions = decide(
-        &mut pool,
-        at(1_800),
-        100,
-        requirements(Class::Online, 5_000),
-    );
+    let actions = decide(&mut pool, at(1_800), 100, needs(Class::Online, 5_000));
     expect_that!(granted(&actions), some(eq("e0")));
 }
 
@@ -184,7 +174,7 @@
         };
         pool.hold(at(0), key(seq), &hold, &mut actions);
     }
-    let actions = decide(&mut pool, at(450), 100, requirements(Class::Batch, 5_000));
+    let actions = decide(&mut pool, at(450), 100, needs(Class::Batch, 5_000));
     expect_that!(granted(&actions), none());
 }
 
@@ -192,12 +182,7 @@
 fn ask_batch_while_learning() {
     let mut pool = pool(1);
     expect_that!(
-        granted(&decide(
-            &mut pool,
-            at(0),
-            1,
-            requirements(Class::Batch, 5_000)
-        )),
+        granted(&decide(&mut pool, at(0), 1, needs(Class::Batch, 5_000))),
         none()
     );
 }
@@ -207,8 +192,8 @@
 #[gtest]
 fn ask_grant_lost() {
     let mut pool = pool(1);
-    decide(&mut pool, at(0), 1, requirements(Class::Online, 5_000));
-    decide(&mut pool, at(25), 1, requirements(Class::Online, 5_000));
+    decide(&mut pool, at(0), 1, needs(Class::Online, 5_000));
+    decide(&mut pool, at(25), 1, needs(Class::Online, 5_000));
     expect_that!(pool.gauge().held, eq(1));
 }
 
@@ -217,17 +202,17 @@
 #[gtest]
 fn release_failed_endpoint_left_out() {
     let mut pool = pool(2);
-    let mut avoided = requirements(Class::Online, 5_000);
+    let mut avoided = needs(Class::Online, 5_000);
     avoided.avoid = vec!["e1".into()];
     decide(&mut pool, at(0), 1, avoided);
     pool.release(at(1), key(1), End::Failed);
     for seq in 2..10 {
-        let actions = decide(&mut pool, at(2), seq, requirements(Class::Online, 5_000));
+        let actions = decide(&mut pool, at(2), seq, needs(Class::Online, 5_000));
         expect_that!(granted(&actions), some(eq("e1")));
     }
-    let actions = decide(&mut pool, at(600), 10, requirements(Class::Online, 5_000));
+    let actions = decide(&mut pool, at(600), 10, needs(Class::Online, 5_000));
     expect_that!(granted(&actions), some(eq("e0")));
-    let actions = decide(&mut pool, at(600), 11, requirements(Class::Online, 5_000));
+    let actions = decide(&mut pool, at(600), 11, needs(Class::Online, 5_000));
     expect_that!(granted(&actions), none());
 }
 
@@ -243,7 +228,7 @@
         let mut pool = Pool::new(salt);
         pool.set_endpoints(all.iter());
         for seq in 0..9 {
-            let mut anywhere = requirements(Class::Online, 5_000);
+            let mut anywhere = needs(Class::Online, 5_000);
             anywhere.zone = "elsewhere".into();
             let id = granted(&decide(&mut pool, at(0), seq, anywhere)).unwrap();
             *held.entry(id).or_default() += 1;
@@ -263,12 +248,7 @@
     });
     pool.set_endpoints([leaving].iter());
     expect_that!(
-        granted(&decide(
-            &mut pool,
-            at(0),
-            1,
-            requirements(Class::Online, 5_000)
-        )),
+        granted(&decide(&mut pool, at(0), 1, needs(Class::Online, 5_000))),
         none()
     );
 }
@@ -281,7 +261,7 @@
     let mut pool = pool(3);
     let mut first = BTreeSet::new();
     for seq in 0..u64::from(3 * SLOTS) {
-        let actions = decide(&mut pool, at(0), seq, requirements(Class::Online, 5_000));
+        let actions = decide(&mut pool, at(0), seq, needs(Class::Online, 5_000));
         if granted(&actions).as_deref() == Some("e0") {
             first.insert(seq);
         }
@@ -295,16 +275,11 @@
         }
     }
     expect_that!(broken, eq(u64::from(SLOTS)));
-    let closed = decide(&mut pool, at(20), again, requirements(Class::Online, 5_000));
+    let closed = decide(&mut pool, at(20), again, needs(Class::Online, 5_000));
     expect_that!(granted(&closed), none());
     pool.release(at(21), key(again), End::Left);
     again += 1;
-    let open = decide(
-        &mut pool,
-        at(700),
-        again,
-        requirements(Class::Online, 5_000),
-    );
+    let open = decide(&mut pool, at(700), again, needs(Class::Online, 5_000));
     expect_that!(granted(&open), some(eq("e0")));
 }
 
@@ -315,7 +290,7 @@
     let mut pool = pool(2);
     let mut actions = Vec::new();
     for seq in 0..3 {
-        let mut to_first = requirements(Class::Online, 5_000);
+        let mut to_first = needs(Class::Online, 5_000);
         to_first.avoid = vec!["e1".into()];
         decide(&mut pool, at(seq), seq, to_first);
         pool.release(at(seq), key(seq), End::Error);
@@ -334,7 +309,7 @@
     );
     let mut trusted = Vec::new();
     for seq in 10..16 {
-        let mut to_first = requirements(Class::Online, 5_000);
+        let mut to_first = needs(Class::Online, 5_000);
         to_first.avoid = vec!["e1".into()];
         decide(&mut pool, at(600 + seq), seq, to_first);
         pool.release(at(600 + seq), key(seq), End::Done);
@@ -352,14 +327,14 @@
 #[gtest]
 fn release_errors_everywhere() {
     let mut pool = pool(3);
-    decide(&mut pool, at(0), 1, requirements(Class::Batch, 5_000));
+    decide(&mut pool, at(0), 1, needs(Class::Batch, 5_000));
     pool.release(at(0), key(1), End::Left);
     let mut seq = 1;
     for round in 0..40 {
         let now = at(500 + round * 20);
         let held: Vec<u64> = (seq + 1..=seq + 3).collect();
         for seq in &held {
-            let actions = decide(&mut pool, now, *seq, requirements(Class::Batch, 5_000));
+            let actions = decide(&mut pool, now, *seq, needs(Class::Batch, 5_000));
             expect_that!(granted(&actions), some(anything()));
         }
         for seq in &held {
@@ -370,12 +345,7 @@
     }
     for _ in 0..3 * SLOTS {
         seq += 1;
-        let actions = decide(
-            &mut pool,
-            at(1_400),
-            seq,
-            requirements(Class::Online, 5_000),
-        );
+        let actions = decide(&mut pool, at(1_400), seq, needs(Class::Online, 5_000));
         expect_that!(granted(&actions), some(anything()));
     }
 }
@@ -386,7 +356,7 @@
 #[gtest]
 fn ask_every_endpoint_avoided() {
     let mut pool = pool(2);
-    let mut avoided = requirements(Class::Online, 5_000);
+    let mut avoided = needs(Class::Online, 5_000);
     avoided.avoid = vec!["e0".into(), "e1".into()];
     expect_that!(
         granted(&decide(&mut pool, at(0), 1, avoided)),
@@ -401,7 +371,7 @@
 fn set_endpoints_restarted() {
     let mut pool = pool(1);
     for seq in 0..u64::from(SLOTS) {
-        decide(&mut pool, at(0), seq, requirements(Class::Online, 5_000));
+        decide(&mut pool, at(0), seq, needs(Class::Online, 5_000));
     }
     pool.release(at(1), key(0), End::Failed);
     let restarted = Arc::new(Endpoint {
@@ -410,7 +380,7 @@
     });
     pool.set_endpoints([restarted].iter());
     for seq in 100..100 + u64::from(SLOTS) {
-        let actions = decide(&mut pool, at(2), seq, requirements(Class::Online, 5_000));
+        let actions = decide(&mut pool, at(2), seq, needs(Class::Online, 5_000));
         expect_that!(granted(&actions), some(eq("e0")));
     }
 }
@@ -424,7 +394,7 @@
         organisation,
         request: Fingerprint(0),
         suspect: false,
-        ..requirements(Class::Batch, due_ms)
+        ..needs(Class::Batch, due_ms)
     };
     let mut pool = pool(2);
     decide(&mut pool, at(0), 1, of(1, 5_000));
--- a/tests/pool_replay.rs
+++ b/tests/pool_replay.rs
@@ -15,7 +15,7 @@
 use googletest::prelude::*;
 use rand::{Rng as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
-use support::{at, key, pool, requirements};
+use support::{at, key, needs, pool};
 
 /// What a replayed load came to.
 #[derive(Debug, Default)]
@@ -71,12 +71,7 @@
             served.online += 1;
             served.peak += u32::from(now % 5_200 >= 3_000);
             asked.insert(seq, (Class::Online, now));
-            pool.acquire(
-                at(now),
-                key(seq),
-                requirements(Class::Online, 5_000),
-                &mut actions,
-            );
+            pool.acquire(at(now), key(seq), needs(Class::Online, 5_000), &mut actions);
         }
         let waiting = asked
             .values()
@@ -87,7 +82,7 @@
             asked.insert(seq, (Class::Batch, now));
             let patient = Requirements {
                 max_wait: Duration::from_secs(60),
-                ..requirements(Class::Batch, 18_000)
+                ..needs(Class::Batch, 18_000)
             };
             pool.acquire(at(now), key(seq), patient, &mut actions);
         }
@@ -118,12 +113,7 @@
                 pool.hold(at(now), key(*seq), &hold, &mut actions);
             }
             for (seq, (class, _)) in &asked {
-                pool.acquire(
-                    at(now),
-                    key(*seq),
-                    requirements(*class, 5_000),
-                    &mut actions,
-                );
+                pool.acquire(at(now), key(*seq), needs(*class, 5_000), &mut actions);
             }
         }
         pool.step(at(now), &mut actions);
--- a/tests/quarantine_evidence.rs
+++ b/tests/quarantine_evidence.rs
@@ -15,7 +15,7 @@
 #[path = "support/pool.rs"]
 mod support;
 
-use support::{at, key, pool, requirements};
+use support::{at, key, needs, pool};
 
 const KILLER: Fingerprint = Fingerprint(1);
 const OTHER: Fingerprint = Fingerprint(2);
@@ -251,7 +251,7 @@
     Requirements {
         request: Fingerprint(request),
         suspect: true,
-        ..requirements(Class::Online, 5_000)
+        ..needs(Class::Online, 5_000)
     }
 }
 
@@ -326,7 +326,7 @@
     let neighbour = Requirements {
         request: OTHER,
         avoid: vec!["e1".into()],
-        ..requirements(Class::Online, 5_000)
+        ..needs(Class::Online, 5_000)
     };
     let killer = Requirements {
         avoid: vec!["e1".into()],
--- a/tests/support/pool.rs
+++ b/tests/support/pool.rs
@@ -33,7 +33,7 @@
 }
 
 /// What a request of the zone `a` asks that waits for 230 ms.
-pub fn requirements(class: Class, due_ms: u64) -> Requirements {
+pub fn needs(class: Class, due_ms: u64) -> Requirements {
     Requirements {
         class,
         priority: 0,
