--- a/src/order.rs
+++ b/src/order.rs
@@ -1,89 +1,86 @@
-//! Orders to endpoints: which models, versions and adapters to hold, and in
-//! which role to run.
+//! Orders to endpoints: which models, versions and adapters to hold, and which role to take.
 //!
-//! An order is absolute: it names the whole set that the endpoint is to hold.
-//! Orders that load or drop one thing would add up to something nobody wanted
-//! when one of them is lost, doubled or late. Towards an endpoint it is plain
-//! JSON: `POST /v1/orders` with an [`Order`] answers 200, or 409 with a
-//! [`Stale`]; `GET /v1/state` answers a [`State`]. See
-//! docs/design/placement.md.
+//! An order is absolute: it names the complete set that the endpoint must hold. With incremental
+//! orders, a lost, duplicated or late one would leave the endpoint with a set that no planner
+//! intended. The protocol is plain JSON: `POST /v1/orders` with an [`Order`] returns 200, or 409
+//! with a [`Stale`]; `GET /v1/state` returns a [`State`]. See docs/design/placement.md.
 
 use serde::{Deserialize, Serialize};
 
 use crate::name::Name;
 
-/// Path that takes an [`Order`].
+/// Path that accepts an [`Order`].
 pub const ORDER_PATH: &str = "/v1/orders";
-/// Path that answers a [`State`].
+/// Path that returns a [`State`].
 pub const STATE_PATH: &str = "/v1/state";
-/// Longest order or state, in bytes.
+/// Largest body of an order or a state.
 pub const MAX_BODY_BYTES: usize = 256 * 1024;
 
 /// A model that an endpoint holds or is to hold.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Model {
-    /// The model's name.
+    /// Name of the model.
     pub model: Name,
-    /// Its version.
+    /// Version of the model.
     #[serde(default)]
     pub version: Name,
-    /// Its adapters, in name order.
+    /// Adapters of the model, in name order.
     #[serde(default)]
     pub adapters: Vec<Name>,
 }
 
-/// What an engine does of a request's work.
+/// The phases of a request that an engine processes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Prompts and generation; engines without roles leave it empty.
+    /// Prefill and decode; engines without roles leave it empty.
     #[default]
     #[serde(alias = "")]
     Both,
-    /// Prompts only.
+    /// Prefill only.
     Prefill,
-    /// Generation only.
+    /// Decode only.
     Decode,
 }
 
-/// What an endpoint is told to be.
+/// The state that an endpoint must take.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// The fencing number: the epoch of the sender's lease.
+    /// Fencing token: the epoch of the sender's lease.
     pub fence: u64,
-    /// All that it is to hold, in order.
+    /// All models to hold, in order.
     pub hold: Vec<Model>,
-    /// Its role.
+    /// The role to take.
     #[serde(default)]
     pub role: Role,
 }
 
-/// What an endpoint is.
+/// The current state of an endpoint.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
-    /// The highest fencing number that it has obeyed, or of the last order if
-    /// it does not check.
+    /// Highest fencing token of an order that was applied, or the token of the last order if the
+    /// endpoint does not check.
     pub fence: u64,
-    /// What it holds or is loading.
+    /// Models that it holds or is loading.
     pub hold: Vec<Model>,
-    /// Its role.
+    /// Its current role.
     #[serde(default)]
     pub role: Role,
 }
 
-/// The refusal of an order that carries an old fencing number.
+/// Refusal of an order with an old fencing token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stale {
-    /// The highest number that the endpoint has obeyed.
+    /// The highest fencing token that the endpoint has applied.
     pub fence: u64,
 }
 
 impl State {
-    /// Obeys an order as an endpoint does. `checks` says whether it looks at
-    /// the fencing number.
+    /// Applies an order as an endpoint does. `checks` is true if the endpoint checks the fencing
+    /// token.
     ///
     /// # Errors
-    /// [`Stale`] when it checks and has obeyed a higher number.
+    /// [`Stale`] if it checks and has applied an order with a higher token.
     pub fn apply(&mut self, order: Order, checks: bool) -> Result<(), Stale> {
         if checks && order.fence < self.fence {
             return Err(Stale { fence: self.fence });
--- a/tests/split_events.rs
+++ b/tests/split_events.rs
@@ -1,4 +1,4 @@
-//! Streams of events cut at the boundaries of their events.
+//! Splitting streams of server-sent events into complete events.
 
 use auburnspoke::split::{Splitter, TooLong, data};
 use googletest::prelude::*;
@@ -14,10 +14,10 @@
     expect_that!(splitter.rest().is_empty(), eq(true));
 }
 
-/// An endpoint breaks off in the middle of an event. Its half must not reach the
-/// caller, because the next endpoint sends the event whole.
+/// An endpoint fails in the middle of an event. The partial event must not reach the caller,
+/// because the next endpoint sends it complete.
 #[gtest]
-fn push_torn_event() {
+fn push_partial_event() {
     let mut splitter = Splitter::default();
     let events = splitter.push(b"id:1\ndata:a\n\nid:2\nda").unwrap().unwrap();
     expect_that!(&events.bytes[..], eq(b"id:1\ndata:a\n\n"));
@@ -33,14 +33,13 @@
 }
 
 #[gtest]
-fn push_without_number() {
+fn push_without_id() {
     let mut splitter = Splitter::default();
     let events = splitter.push(b"data: x\n\n").unwrap().unwrap();
     expect_that!(events.last, none());
 }
 
-/// An endpoint sends megabytes without a boundary. They must not fill the
-/// node's memory.
+/// An endpoint sends megabytes without a boundary, which must not fill the node's memory.
 #[gtest]
 fn push_endless_event() {
     let mut splitter = Splitter::default();
@@ -61,8 +60,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// However the network cuts a stream, the events are the same and nothing
-    /// is lost, doubled or torn.
+    /// For any segmentation by the network, the events are the same, and none is lost, duplicated
+    /// or partial.
     #[test]
     fn push_any_cuts(cuts in proptest::collection::vec(1_usize..40, 1..60), crlf: bool) {
         let end = if crlf { "\r\n" } else { "\n" };
