--- a/src/lease.rs
+++ b/src/lease.rs
@@ -1,17 +1,19 @@
-//! Leases: who may act for the fleet, as a pure decision over one table row.
+//! Leases grant one node at a time the right to act for the fleet. A claim is a
+//! pure state machine over one table row.
 //!
-//! What goes wrong without them: two nodes order endpoints about. What goes
-//! wrong with them: a holder is paused, loses its lease without noticing and
-//! acts on. Three things stand against that, and none trusts a wall clock:
+//! Without leases, two nodes would give conflicting orders to endpoints. With a
+//! lease, a holder may be paused, lose the lease without noticing and continue to
+//! act. Three rules prevent that, none of which relies on a wall clock:
 //!
-//! - the epoch goes up with every new holder and is carried in each order, so
-//!   that whoever checks it refuses an old holder;
-//! - the holder counts its time from before it sent the write that gave it the
-//!   lease, on its own monotonic clock, and stops a margin early;
-//! - another takes the lease only after it has seen the same row version for
-//!   the lease's whole duration and a margin, counted from after it read it.
+//! - The epoch increases with every new holder and is part of each order as a
+//!   fencing token, so that its recipient rejects orders of an old holder.
+//! - The holder counts the lease duration on its own monotonic clock, from before
+//!   it sent the write that acquired or renewed the lease, and stops a margin
+//!   early.
+//! - Another node takes the lease only after the row version has not changed for
+//!   the lease duration and a margin, counted from after it was read.
 //!
-//! docs/design/lease.md weighs the ways.
+//! docs/design/lease.md compares the alternatives.
 
 use std::time::Duration;
 
@@ -24,21 +26,21 @@
 
 pub use message::{Action, Held, Input, Record, Setting, Token};
 
-/// An answer that takes longer is taken for lost.
+/// Time after which an answer is considered lost.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
-/// Pause before asking a table again that did not answer.
-const RETRY: Duration = Duration::from_millis(500);
+/// Delay before retrying an operation that the table did not answer.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// A write whose fate is not known yet.
+/// A write whose outcome is not known yet.
 #[derive(Clone, Debug)]
 struct Pending {
     record: Record,
     base: Option<u64>,
-    /// When it was first sent: the lease's time counts from here, because it
-    /// may have taken effect then.
+    /// Time of the first transmission. The lease duration counts from here,
+    /// because the write may have taken effect then.
     first_sent: Time,
-    /// How many copies of it were sent.
-    copies: u32,
+    /// Number of transmissions.
+    transmissions: u32,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -47,16 +49,16 @@
     Answer { since: Time, token: Token },
 }
 
-/// One node's claim to one lease.
+/// The claim of one node to one lease.
 #[derive(Debug)]
 pub struct Claim {
     setting: Setting,
     contend: bool,
     held: Option<Held>,
-    /// The row as it was last read or written: its version and record.
+    /// Version and record of the row as last read or written.
     row: Option<(u64, Record)>,
-    /// Since when this version has been seen.
-    seen: Time,
+    /// Time at which this version was first seen.
+    seen_at: Time,
     pending: Option<Pending>,
     waiting: Waiting,
     token: Token,
@@ -64,14 +66,14 @@
 }
 
 impl Claim {
-    /// A claim that holds nothing yet and does not contend.
+    /// Creates a claim that neither holds the lease nor contends for it.
     pub fn new(now: Time, setting: Setting) -> Self {
         Self {
             setting,
             contend: false,
             held: None,
             row: None,
-            seen: now,
+            seen_at: now,
             pending: None,
             waiting: Waiting::Nothing,
             token: 0,
@@ -79,13 +81,14 @@
         }
     }
 
-    /// The lease, while it may be acted under. Whoever acts asks this with the
-    /// present time, so that a holder that was paused stops at once.
+    /// Returns the lease while it is valid. Callers must check this with the
+    /// current time before they act, so that a holder that was paused stops at
+    /// once.
     pub fn held(&self, now: Time) -> Option<Held> {
         self.held.filter(|held| now < held.until)
     }
 
-    /// Takes one input and appends what must be done to `actions`.
+    /// Handles one input and appends the resulting actions to `actions`.
     pub fn step(&mut self, now: Time, input: Input, actions: &mut Vec<Action>) {
         if self.held.is_some() && self.held(now).is_none() {
             self.lose(actions);
@@ -99,7 +102,7 @@
                 }
                 match result {
                     Ok(found) => self.read(now, found, actions),
-                    Err(_) => self.next = now + RETRY,
+                    Err(_) => self.next = now + RETRY_DELAY,
                 }
             }
             Input::Wrote { token, result } => {
@@ -110,7 +113,7 @@
         }
     }
 
-    /// True when this is the answer that was waited for.
+    /// Returns true if this answers the outstanding operation.
     fn answered(&mut self, token: Token) -> bool {
         let expected = matches!(self.waiting, Waiting::Answer { token: one, .. } if one == token);
         if expected {
@@ -119,7 +122,7 @@
         expected
     }
 
-    /// Waits for an answer from now on.
+    /// Marks a new operation as outstanding and returns its token.
     fn wait(&mut self, now: Time) -> Token {
         self.token += 1;
         self.waiting = Waiting::Answer {
@@ -149,11 +152,11 @@
         }
         match (self.pending.is_some(), self.held(now)) {
             (false, Some(held)) => self.renew(now, held, actions),
-            _ => self.ask(now, actions),
+            _ => self.send_read(now, actions),
         }
     }
 
-    fn ask(&mut self, now: Time, actions: &mut Vec<Action>) {
+    fn send_read(&mut self, now: Time, actions: &mut Vec<Action>) {
         let token = self.wait(now);
         actions.push(Action::Read(token));
     }
@@ -170,8 +173,8 @@
         self.release(now, actions);
     }
 
-    /// Gives the lease up. It stops acting before it says so; the other way
-    /// round, a successor could start while this node still acts.
+    /// Releases the lease. This node stops acting before it writes the release;
+    /// in the reverse order, a successor could start while this node still acts.
     fn release(&mut self, now: Time, actions: &mut Vec<Action>) {
         let held = self.held(now);
         self.lose(actions);
@@ -185,7 +188,7 @@
             renewal: record.renewal + 1,
         };
         let transaction = self.transaction(Some(version), &released);
-        // Nobody waits for the answer: if it is lost, the lease runs out.
+        // The answer is not awaited: if the write is lost, the lease expires.
         self.token += 1;
         actions.push(Action::Write(self.token, transaction));
     }
@@ -220,7 +223,7 @@
             record,
             base,
             first_sent: now,
-            copies: 1,
+            transmissions: 1,
         });
         let token = self.wait(now);
         actions.push(Action::Write(token, transaction));
@@ -238,34 +241,34 @@
             return;
         };
         match result {
-            Ok(version) => self.effective(now, *version, actions),
-            // It may be this node's own earlier write that stands in the way.
-            Err(Fault::Conflict { .. }) => self.ask(now, actions),
-            // An earlier copy of this write may still take effect, so that it
+            Ok(version) => self.take_effect(now, *version, actions),
+            // The conflict may be with an earlier write of this node.
+            Err(Fault::Conflict { .. }) => self.send_read(now, actions),
+            // An earlier transmission of this write may still take effect, so it
             // stays pending and the row is read.
-            Err(Fault::Unknown) => self.next = now + RETRY,
+            Err(Fault::Unknown) => self.next = now + RETRY_DELAY,
             Err(Fault::Refused { retry_after }) => {
-                if pending.copies == 1 {
+                if pending.transmissions == 1 {
                     self.pending = None;
                 }
-                self.next = now + RETRY.max(*retry_after);
+                self.next = now + RETRY_DELAY.max(*retry_after);
             }
         }
     }
 
-    /// The pending write took effect and gave the row this version.
-    fn effective(&mut self, now: Time, version: u64, actions: &mut Vec<Action>) {
+    /// Handles that the pending write took effect and gave the row this version.
+    fn take_effect(&mut self, now: Time, version: u64, actions: &mut Vec<Action>) {
         let Some(pending) = self.pending.take() else {
             return;
         };
         let until = pending.first_sent + self.setting.duration - self.setting.margin;
         let epoch = pending.record.epoch;
         self.row = Some((version, pending.record));
-        self.seen = now;
+        self.seen_at = now;
         self.next = pending.first_sent + self.setting.period;
         if now >= until {
-            // It took too long; the row says that this node holds it, so that
-            // it may be taken anew at once.
+            // The write took too long. The row names this node as the holder, so
+            // it may acquire the lease again at once.
             self.lose(actions);
             self.next = now;
             return;
@@ -283,8 +286,8 @@
     fn read(&mut self, now: Time, found: Option<Row>, actions: &mut Vec<Action>) {
         let found = match found {
             None => None,
-            // A row that can't be read was written by a later release; it is
-            // left alone.
+            // A row that cannot be decoded was written by a later release; it is
+            // left unchanged.
             Some(found) => match row::decode::<Record>(&found.value) {
                 Some(record) => Some((found.version, record)),
                 None => return,
@@ -292,18 +295,19 @@
         };
         let version = found.as_ref().map(|(version, _)| *version);
         if let Some(mut pending) = self.pending.take() {
-            let effective = found
+            let written = found
                 .as_ref()
                 .filter(|(_, record)| *record == pending.record);
-            if let Some((version, _)) = effective {
+            if let Some((version, _)) = written {
                 self.pending = Some(pending);
-                return self.effective(now, *version, actions);
+                return self.take_effect(now, *version, actions);
             }
             if version == pending.base {
-                // Not there, but it may still come. The same write again can't
-                // take effect twice, because both demand the same version.
+                // The write has not taken effect but still may. Sending it again
+                // is safe: both transmissions require the same row version, so
+                // only one can take effect.
                 let again = self.transaction(pending.base, &pending.record);
-                pending.copies += 1;
+                pending.transmissions += 1;
                 self.pending = Some(pending);
                 let token = self.wait(now);
                 return actions.push(Action::Write(token, again));
@@ -312,20 +316,20 @@
         }
         if self.row.as_ref().map(|(version, _)| *version) != version {
             self.row = found;
-            self.seen = now;
+            self.seen_at = now;
         }
-        if self.contend && self.is_free(now) {
+        if self.contend && self.is_available(now) {
             self.acquire(now, actions);
         }
     }
 
-    /// True when the row as last read may be taken.
-    fn is_free(&self, now: Time) -> bool {
+    /// Returns true if the lease in the row as last read may be taken.
+    fn is_available(&self, now: Time) -> bool {
         let Some((_, record)) = &self.row else {
             return true;
         };
         let own = record.holder == self.setting.holder && record.nonce == self.setting.nonce;
         let wait = self.setting.duration + self.setting.margin;
-        record.holder.is_empty() || own || now.since(self.seen) >= wait
+        record.holder.is_empty() || own || now.since(self.seen_at) >= wait
     }
 }
--- a/src/lease/elector.rs
+++ b/src/lease/elector.rs
@@ -1,4 +1,4 @@
-//! The shell around a [`Claim`]: reads and writes the row.
+//! Runs a [`Claim`]: reads and writes its row in the table.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -9,10 +9,11 @@
 use crate::event;
 use crate::table::Table;
 
-/// How often the decision is told that time has passed.
+/// Interval between ticks of the claim.
 const TICK: Duration = Duration::from_millis(200);
 
-/// Keeps one claim on the control thread. Clones are handles to the same claim.
+/// Contends for one lease on the control thread. Clones are handles to the same
+/// claim.
 #[derive(Debug)]
 pub struct Elector<T> {
     inner: Rc<Inner<T>>,
@@ -38,7 +39,7 @@
 where
     T: Table + 'static,
 {
-    /// An elector that starts with [`Elector::run`].
+    /// Creates an elector; [`Elector::run`] starts it.
     pub fn new(table: T, clock: Clock, setting: Setting) -> Self {
         Self {
             inner: Rc::new(Inner {
@@ -58,12 +59,13 @@
         }
     }
 
-    /// Says whether this node wants the lease; not wanting it releases it.
+    /// Sets whether this node contends for the lease; ceasing to contend releases
+    /// it.
     pub fn contend(&self, contend: bool) {
         self.step(Input::Contend(contend));
     }
 
-    /// The lease, while it may be acted under.
+    /// Returns the lease while it is valid.
     pub fn held(&self) -> Option<Held> {
         self.inner.claim.borrow().held(self.inner.clock.now())
     }
--- a/src/lease/message.rs
+++ b/src/lease/message.rs
@@ -1,4 +1,4 @@
-//! What goes into and comes out of the decision about a lease.
+//! Inputs and actions of a lease claim.
 
 use std::time::Duration;
 
@@ -8,39 +8,41 @@
 use crate::name::Name;
 use crate::table::{Fault, Row, Transaction};
 
-/// What a lease's row holds. The row is never removed, so that the epoch never
-/// starts anew.
+/// Content of the table row of a lease. The row is never removed, so that the
+/// epoch never restarts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// The node that holds it; empty when it was released.
+    /// Name of the holder; empty after a release.
     pub holder: Name,
-    /// Tells this run of the holder from an earlier one of the same name.
+    /// Distinguishes this process of the holder from an earlier one of the same
+    /// name.
     pub nonce: u64,
-    /// Counts up with every new holder.
+    /// Incremented with every new holder.
     pub epoch: u64,
-    /// Counts up with every write of the same epoch.
+    /// Incremented with every write in the same epoch.
     pub renewal: u64,
 }
 
-/// What a lease is and who asks for it.
+/// Parameters of a lease and the identity of the claimant.
 #[derive(Clone, Debug)]
 pub struct Setting {
-    /// The row's key.
+    /// Key of the row.
     pub key: String,
-    /// This node's name.
+    /// Name of this node.
     pub holder: Name,
-    /// Random, chosen once when the process starts.
+    /// Random number drawn at process start.
     pub nonce: u64,
-    /// How long it lasts after a renewal.
+    /// Duration of the lease after a renewal.
     pub duration: Duration,
-    /// By how much the holder stops early and a successor waits longer.
+    /// Time by which the holder stops early and a successor waits longer.
     pub margin: Duration,
-    /// How often it is renewed, or looked at by those who wait for it.
+    /// Interval between renewals by the holder and reads by contenders.
     pub period: Duration,
 }
 
 impl Setting {
-    /// The lease `name` with the durations that docs/design/lease.md chose.
+    /// Returns the lease `name` with the durations chosen in
+    /// docs/design/lease.md.
     pub fn new(name: &str, holder: Name, nonce: u64) -> Self {
         Self {
             key: format!("lease/{name}"),
@@ -53,51 +55,51 @@
     }
 }
 
-/// A lease that is held.
+/// A held lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Held {
-    /// Its epoch, which is the fencing number.
+    /// Epoch, used as the fencing token.
     pub epoch: u64,
-    /// When the holder must have stopped.
+    /// Time by which the holder must have stopped acting.
     pub until: Time,
 }
 
-/// Tells one read or write of a claim from the others, so that an answer that
-/// was given up on can't be taken for that of a later one.
+/// Identifies one read or write of a claim, so that a late answer cannot be
+/// attributed to a later operation.
 pub type Token = u64;
 
-/// What happened.
+/// An input of the claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input {
-    /// Time passed; due several times a second.
+    /// Time has passed; due several times per second.
     Tick,
-    /// Whether this node wants the lease.
+    /// Whether this node contends for the lease.
     Contend(bool),
-    /// The row was read, or not.
+    /// A read of the row has completed or failed.
     Read {
-        /// Which read.
+        /// Token of the read.
         token: Token,
-        /// What it brought.
+        /// Result of the read.
         result: Result<Option<Row>, Fault>,
     },
-    /// The row was written, or not.
+    /// A write of the row has completed or failed.
     Wrote {
-        /// Which write.
+        /// Token of the write.
         token: Token,
-        /// What became of it.
+        /// Result of the write.
         result: Result<u64, Fault>,
     },
 }
 
-/// What the shell must do.
+/// An action that the caller must carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Read the row.
     Read(Token),
     /// Write the row.
     Write(Token, Transaction),
-    /// Act under this epoch from now on.
+    /// The lease was acquired; act under this epoch from now on.
     Gained(u64),
-    /// Stop acting under this epoch.
+    /// The lease was lost; stop acting under this epoch.
     Lost(u64),
 }
--- a/src/leave.rs
+++ b/src/leave.rs
@@ -1,107 +1,111 @@
-//! How a node leaves: what it stops doing when, and when it may end.
+//! Graceful shutdown of a node: in which order it stops its tasks, and when it
+//! may exit.
 //!
-//! docs/design/leaving.md weighs the ways and defines what happens on a second
-//! signal, during start, during an outage and when the limit passes.
+//! docs/design/leaving.md compares the alternatives and defines what happens on a
+//! second signal, during start, during an outage and when the time limit passes.
 
 use std::time::Duration;
 
 use crate::clock::Time;
 
-/// Where a node is in its life.
+/// Lifecycle phase of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It does not answer callers yet.
+    /// Does not serve callers yet.
     Starting,
-    /// It does everything.
+    /// In full operation.
     Serving,
-    /// Others are told; callers with a cached address are still served.
+    /// The departure is announced; callers with a cached address are still
+    /// served.
     Leaving,
-    /// No caller may hold its address any more; what is in flight ends.
+    /// All cached addresses have expired; in-flight requests complete.
     Closing,
-    /// The limit passed; what is in flight gets its final answer.
+    /// The time limit has passed; in-flight requests get their final answer.
     Cutting,
-    /// It ends.
+    /// The process exits.
     Ended,
 }
 
-/// How much is going on.
+/// Outstanding work of a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Work {
-    /// Questions that came from callers and are not answered.
+    /// Unanswered requests from callers.
     pub requests: usize,
     /// Requests admitted to endpoints for other nodes.
     pub dispatched: usize,
-    /// Chunks of batch jobs that are held.
+    /// Held chunks of batch jobs.
     pub chunks: usize,
-    /// Items of those chunks that run at an endpoint.
+    /// Items of those chunks that are running at an endpoint.
     pub items: usize,
 }
 
-/// What happened.
+/// An input of the shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Input {
     /// The node is ready to serve.
     Started,
     /// SIGTERM, the first SIGINT, or an operator's Drain.
     Stop,
-    /// A second SIGINT: a person at a terminal will not wait.
+    /// A second SIGINT: shut down without waiting.
     ForceStop,
-    /// Time passed, and this is going on.
+    /// Time has passed; this work is outstanding.
     Tick(Work),
 }
 
-/// What is to be done, in this order.
+/// Actions that the caller must carry out in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Tell the members; that takes this node out of Locate everywhere.
+    /// Announce the departure to the members, which removes this node from Locate
+    /// answers everywhere.
     Announce,
-    /// Claim no chunk, and start no item of those held.
+    /// Claim no more chunks, and start no more items of the held ones.
     StopClaiming,
-    /// Give queued requests back as not run, so that their gateways go to the
-    /// endpoints' next dispatchers. Those that run at an endpoint go on.
+    /// Return queued requests as not run, so that their gateways send them to the
+    /// endpoints' next dispatchers. Requests that are running at an endpoint
+    /// continue.
     HandOver,
-    /// Write what the held chunks have, and give their leases up. It comes
-    /// again, with pauses, while chunks are still held.
+    /// Write the results of the held chunks and release their leases. Repeated at
+    /// intervals while chunks are still held.
     ReleaseChunks,
-    /// Refuse new questions as not run: use another address.
+    /// Reject new requests as not run, so that callers use another address.
     RejectRequests,
-    /// Give everything in flight its final answer now.
+    /// Give all in-flight requests their final answer now.
     AbortAll,
-    /// Tell the members goodbye and end the process.
+    /// Announce the exit to the members and end the process.
     Exit(Summary),
 }
 
-/// How it ended.
+/// Result of the shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Summary {
-    /// Questions and dispatched requests that were cut short.
+    /// Client and dispatched requests that were aborted.
     pub aborted: usize,
-    /// Chunks whose leases could not be given up; they run out by themselves.
+    /// Chunks whose leases could not be released and will expire.
     pub chunks: usize,
 }
 
 impl Summary {
-    /// True when nobody was harmed.
+    /// Returns true if no request was aborted.
     pub const fn is_clean(self) -> bool {
         self.aborted == 0
     }
 }
 
-/// The times of a planned stop.
+/// Time limits of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Times {
-    /// How long until every node knows that this one is leaving.
+    /// Time until every node has received the announcement.
     pub propagation: Duration,
-    /// How long callers may keep an address; see [`crate::locate::ADDRESS_TTL`].
+    /// How long callers may cache an address; see [`crate::locate::ADDRESS_TTL`].
     pub address_ttl: Duration,
-    /// How long running items of held chunks may take to end.
+    /// How long running items of held chunks may take to complete.
     pub item_grace: Duration,
-    /// Time between attempts to give chunks up.
+    /// Interval between attempts to release chunks.
     pub release_interval: Duration,
-    /// How long a node with nothing but chunks waits for the platform. Their
-    /// leases run out anyway; a longer wait gains nothing.
+    /// How long a node that holds only chunks waits for the platform. Their
+    /// leases expire anyway, so a longer wait gains nothing.
     pub release_timeout: Duration,
-    /// Longest time from the stop until what is in flight is cut off.
+    /// Time from the stop until in-flight requests are aborted.
     pub limit: Duration,
     /// How long final answers may take to reach their callers.
     pub flush_grace: Duration,
@@ -121,23 +125,23 @@
     }
 }
 
-/// The leaving of one node.
+/// The graceful shutdown of one node.
 #[derive(Clone, Debug)]
 pub struct Leave {
     times: Times,
     phase: Phase,
-    /// When it was told to stop.
+    /// Time of the stop request.
     stopped: Time,
-    /// When only chunks were left.
+    /// Time since which only chunks are left.
     idle: Option<Time>,
-    /// When giving up chunks was tried last.
+    /// Time of the last attempt to release chunks.
     released: Option<Time>,
-    /// When and how much was cut off.
+    /// Time of the abort and number of aborted requests.
     aborted: Option<(Time, usize)>,
 }
 
 impl Leave {
-    /// A node that starts.
+    /// Creates the state of a node that is starting.
     pub const fn new(times: Times) -> Self {
         Self {
             times,
@@ -149,12 +153,12 @@
         }
     }
 
-    /// Where the node is in its life.
+    /// Returns the lifecycle phase of the node.
     pub const fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Takes one input and says what is to be done.
+    /// Handles one input and returns the resulting actions.
     pub fn step(&mut self, now: Time, input: Input) -> Vec<Action> {
         match (self.phase, input) {
             (Phase::Starting, Input::Started) => {
@@ -162,7 +166,8 @@
                 Vec::new()
             }
             (Phase::Starting, Input::Stop | Input::ForceStop) => {
-                // Nobody was told of this node, so there is nobody to tell.
+                // The node was never announced, so there is no departure to
+                // announce.
                 self.end(Summary {
                     aborted: 0,
                     chunks: 0,
@@ -176,8 +181,8 @@
             (Phase::Leaving | Phase::Closing | Phase::Cutting, Input::Tick(work)) => {
                 self.tick(now, work)
             }
-            // A platform that repeats SIGTERM must not cut answers short, so a
-            // second Stop does nothing.
+            // A platform that repeats SIGTERM must not abort requests, so a
+            // second Stop has no effect.
             (
                 Phase::Starting
                 | Phase::Serving
@@ -202,8 +207,8 @@
         self.release(now, work, passed, &mut actions);
         if self.phase == Phase::Leaving && passed >= self.times.propagation + self.times.address_ttl
         {
-            // Whoever comes now holds the address longer than it was told. Were
-            // it served on and on, the node could never end.
+            // A caller that arrives now has cached the address beyond its TTL. If
+            // such callers were served, the node could never exit.
             self.phase = Phase::Closing;
             actions.push(Action::RejectRequests);
         }
@@ -221,7 +226,7 @@
         actions
     }
 
-    /// Gives chunks up once their running items ended or had their time.
+    /// Releases chunks once their running items have completed or timed out.
     fn release(&mut self, now: Time, work: Work, passed: Duration, actions: &mut Vec<Action>) {
         let ready = work.items == 0 || passed >= self.times.item_grace;
         let due = self
--- a/src/locate.rs
+++ b/src/locate.rs
@@ -1,7 +1,8 @@
-//! Which addresses a caller should use.
+//! Selects the node addresses that a caller should use.
 //!
-//! No balancer stands before the nodes: what is decided here is the only thing
-//! that spreads callers over them. docs/design/locate.md weighs the ways.
+//! No load balancer runs in front of the nodes, so this selection alone
+//! distributes callers over them. docs/design/locate.md compares the
+//! alternatives.
 
 use std::cmp::Ordering;
 use std::time::Duration;
@@ -12,36 +13,36 @@
 use crate::name::Name;
 use crate::outcome::{Reason, Refusal};
 
-/// How long an answer may be kept, before [`Answer::ttl`] shortens it. A node
-/// that leaves answers callers for this long after its last mention, so a
-/// longer time makes each planned stop longer.
+/// How long an answer may be cached, before [`Answer::ttl`] shortens it. A
+/// leaving node serves callers for this long after it was last returned, so a
+/// larger value prolongs each planned shutdown.
 pub const ADDRESS_TTL: Duration = Duration::from_secs(10);
-/// Addresses named when the caller does not say how many.
+/// Number of addresses returned if the caller does not specify one.
 pub const DEFAULT_COUNT: usize = 3;
-/// Most addresses named.
+/// Maximum number of addresses returned.
 pub const MAX_COUNT: usize = 16;
-/// When to ask again while there is no node to name.
-const RETRY: Duration = Duration::from_secs(1);
-/// A zone's node gets at most this many hundredths of the mean share of
-/// callers; the rest of the zone's callers go elsewhere in the region.
-const MAX_SHARE: u64 = 150;
+/// Retry delay while no node is available.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Maximum share of callers for a node of a zone, in percent of the mean share;
+/// the other callers of the zone are sent elsewhere in the region.
+const MAX_SHARE_PERCENT: u64 = 150;
 
 /// Addresses to use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// As ip:port, nearest first.
+    /// Addresses as ip:port, nearest first.
     pub addresses: Vec<Name>,
-    /// How long they may be kept.
+    /// How long they may be cached.
     pub ttl: Duration,
 }
 
-/// The region of a zone: its name up to the last dash, so that `muscat-1` and
-/// `muscat-2` are near each other.
+/// Returns the region of a zone: its name up to the last dash, so that `muscat-1`
+/// and `muscat-2` are in the same region.
 pub fn region(zone: &str) -> &str {
     zone.rsplit_once('-').map_or(zone, |(region, _)| region)
 }
 
-/// How far a node is from a caller; less is nearer.
+/// Distance of a node from a caller; smaller is nearer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Distance {
     Zone,
@@ -49,21 +50,21 @@
     Elsewhere,
 }
 
-/// A node that may be named.
+/// A node that may be returned.
 struct Candidate<'a> {
     member: &'a Member,
     distance: Distance,
     score: u64,
 }
 
-/// Names up to `count` addresses for a caller in `zone`.
+/// Returns up to `count` addresses for a caller in `zone`.
 ///
-/// An empty or unknown zone is taken for that of the node that answers, `here`,
-/// since the caller reached it. `ticket` is a different number for each
-/// question; equal ones get equal answers.
+/// An empty or unknown zone is replaced by the zone of the answering node,
+/// `here`, since the caller reached that node. `ticket` is a different number for
+/// each request; equal numbers get equal answers.
 ///
 /// # Errors
-/// [`Reason::NotReady`] when every node is leaving or dead.
+/// [`Reason::NotReady`] if every node is leaving or dead.
 pub fn locate(
     view: &View,
     here: &str,
@@ -75,20 +76,20 @@
     let zone = if known { zone } else { here };
     let mut candidates = candidates(view, zone, ticket);
     if candidates.is_empty() {
-        return Err(Refusal::new(Reason::NotReady).after(RETRY));
+        return Err(Refusal::new(Reason::NotReady).after(RETRY_DELAY));
     }
     let local = stays_local(view, &candidates, zone, ticket);
-    candidates.sort_by(|a, b| by_preference(a, b, local));
+    candidates.sort_by(|a, b| compare_candidates(a, b, local));
     let count = if count == 0 { DEFAULT_COUNT } else { count };
-    let chosen = choose(&candidates, count.min(MAX_COUNT));
+    let selected = select(&candidates, count.min(MAX_COUNT));
     Ok(Answer {
-        addresses: chosen.iter().map(|c| c.member.address.clone()).collect(),
+        addresses: selected.iter().map(|c| c.member.address.clone()).collect(),
         ttl: jittered_ttl(ticket),
     })
 }
 
-/// The nodes that may be named: those that answer, or, when there is none, those
-/// that did not answer lately.
+/// Returns the nodes that may be selected: the live ones or, if there are none,
+/// the suspect ones.
 fn candidates<'a>(view: &'a View, zone: &str, ticket: u64) -> Vec<Candidate<'a>> {
     let of = |state| {
         let members = view.members.iter().filter(move |m| m.state == state);
@@ -116,11 +117,11 @@
     }
 }
 
-/// Whether this caller's first address is in its own zone.
+/// Returns whether this caller's first address is in its own zone.
 ///
-/// When most of a zone's nodes are gone, the few that are left would get all of
-/// the zone's callers and fall over as well. One would notice it by their
-/// refusals while other zones are idle.
+/// When most nodes of a zone are lost, the remaining ones would get all callers
+/// of the zone and become overloaded too. This would show as refusals there while
+/// other zones are idle.
 fn stays_local(view: &View, candidates: &[Candidate<'_>], zone: &str, ticket: u64) -> bool {
     let near = candidates
         .iter()
@@ -141,12 +142,12 @@
     if own == 0 || near == 0 {
         return false;
     }
-    // Callers are taken to be spread evenly over the region's zones.
-    let percent = MAX_SHARE * own * zones.len() as u64 / near;
+    // Assumes that callers are spread evenly over the zones of the region.
+    let percent = MAX_SHARE_PERCENT * own * zones.len() as u64 / near;
     percent >= 100 || xxh3_64_with_seed(zone.as_bytes(), !ticket) % 100 < percent
 }
 
-fn by_preference(a: &Candidate<'_>, b: &Candidate<'_>, local: bool) -> Ordering {
+fn compare_candidates(a: &Candidate<'_>, b: &Candidate<'_>, local: bool) -> Ordering {
     let near = |c: &Candidate<'_>| match (c.distance, local) {
         (Distance::Zone, true) => 0,
         (Distance::Region, _) => 1,
@@ -156,27 +157,28 @@
     near(a).cmp(&near(b)).then(b.score.cmp(&a.score))
 }
 
-/// Takes the best, but sees to it that not all are in one zone: a zone that is
-/// lost would otherwise leave its callers without an address until they ask
-/// anew, and whom they would ask is lost as well.
-fn choose<'a>(candidates: &'a [Candidate<'a>], count: usize) -> Vec<&'a Candidate<'a>> {
-    let mut chosen: Vec<&Candidate<'_>> = candidates.iter().take(count).collect();
-    let Some(first) = chosen.first().map(|c| &c.member.zone) else {
-        return chosen;
+/// Selects the best candidates, but not all from one zone: if that zone were
+/// lost, its callers would have no address left until they call Locate again, and
+/// the nodes that they would call are lost as well.
+fn select<'a>(candidates: &'a [Candidate<'a>], count: usize) -> Vec<&'a Candidate<'a>> {
+    let mut selected: Vec<&Candidate<'_>> = candidates.iter().take(count).collect();
+    let Some(first) = selected.first().map(|c| &c.member.zone) else {
+        return selected;
     };
-    let one_zone = chosen.iter().all(|c| c.member.zone == *first);
-    if chosen.len() < 2 || !one_zone {
-        return chosen;
+    let one_zone = selected.iter().all(|c| c.member.zone == *first);
+    if selected.len() < 2 || !one_zone {
+        return selected;
     }
     let other = candidates.iter().find(|c| c.member.zone != *first);
-    if let (Some(other), Some(last)) = (other, chosen.last_mut()) {
+    if let (Some(other), Some(last)) = (other, selected.last_mut()) {
         *last = other;
     }
-    chosen
+    selected
 }
 
-/// [`ADDRESS_TTL`] less up to a fifth, so that callers who asked at the same moment,
-/// as after a failure, don't ask at the same moment for ever.
+/// Returns [`ADDRESS_TTL`] reduced by up to a fifth, so that callers that called
+/// at the same moment, such as after a failure, do not all call again at the same
+/// moment.
 fn jittered_ttl(ticket: u64) -> Duration {
     let fifth = u64::try_from(ADDRESS_TTL.as_millis() / 5).unwrap_or_default();
     let less = xxh3_64_with_seed(b"keep", ticket) % (fifth + 1);
--- a/tests/lease_claim.rs
+++ b/tests/lease_claim.rs
@@ -1,5 +1,5 @@
-//! Who holds a lease: nodes that are paused, restarted and cut off from the
-//! table, with answers lost and writes that arrive late.
+//! Lease claims of nodes that are paused, restarted and disconnected from the
+//! table, with lost answers and delayed writes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -22,8 +22,8 @@
 const NODES: usize = 3;
 const START: Time = Time::from_millis(3_600_000);
 
-/// Something on its way: to the table, or back to a node.
-enum Mail {
+/// A message in transit to the table or back to a node.
+enum Message {
     Read {
         node: usize,
         run: u64,
@@ -53,12 +53,12 @@
     random: ChaCha8Rng,
     table: Platform,
     nodes: Vec<Node>,
-    mails: BTreeMap<(Time, u64), Mail>,
+    messages: BTreeMap<(Time, u64), Message>,
     sent: u64,
     runs: u64,
-    /// Longest time that something is under way, in milliseconds.
+    /// Maximum delay of a message, in milliseconds.
     slowness: u64,
-    /// By epoch, who held it.
+    /// Holder by epoch.
     holders: BTreeMap<u64, (usize, u64)>,
     held: u32,
 }
@@ -70,7 +70,7 @@
             random: ChaCha8Rng::seed_from_u64(seed),
             table: Platform::in_virtual_time(START, seed),
             nodes: Vec::new(),
-            mails: BTreeMap::new(),
+            messages: BTreeMap::new(),
             sent: 0,
             runs: 0,
             slowness: 100,
@@ -96,20 +96,21 @@
         }
     }
 
-    fn send(&mut self, mail: Mail) {
+    fn send(&mut self, message: Message) {
         self.sent += 1;
         let latency = Duration::from_millis(self.random.random_range(1..=self.slowness));
-        self.mails.insert((self.now + latency, self.sent), mail);
+        self.messages
+            .insert((self.now + latency, self.sent), message);
     }
 
     fn step(&mut self) {
         self.now += STEP;
         self.table.set_time(self.now);
         let due = self
-            .mails
+            .messages
             .split_off(&(self.now + Duration::from_micros(1), 0));
-        for ((_, order), mail) in std::mem::replace(&mut self.mails, due) {
-            self.deliver(order, mail);
+        for ((_, order), message) in std::mem::replace(&mut self.messages, due) {
+            self.deliver(order, message);
         }
         for at in 0..NODES {
             if self.now >= self.nodes[at].paused_until {
@@ -119,14 +120,14 @@
         self.check();
     }
 
-    fn deliver(&mut self, order: u64, mail: Mail) {
-        match mail {
-            Mail::Read { node, run, token } => {
+    fn deliver(&mut self, order: u64, message: Message) {
+        match message {
+            Message::Read { node, run, token } => {
                 let result = self.table.get("lease/placement").now_or_never().unwrap();
                 let input = Input::Read { token, result };
-                self.send(Mail::Answer { node, run, input });
+                self.send(Message::Answer { node, run, input });
             }
-            Mail::Write {
+            Message::Write {
                 node,
                 run,
                 token,
@@ -134,14 +135,14 @@
             } => {
                 let result = self.table.transact(transaction).now_or_never().unwrap();
                 let input = Input::Wrote { token, result };
-                self.send(Mail::Answer { node, run, input });
+                self.send(Message::Answer { node, run, input });
             }
-            // What reaches a paused node lies in its buffers until it goes on.
-            Mail::Answer { node, .. } if self.now < self.nodes[node].paused_until => {
+            // Messages to a paused node stay in its buffers until it resumes.
+            Message::Answer { node, .. } if self.now < self.nodes[node].paused_until => {
                 let until = self.nodes[node].paused_until;
-                self.mails.insert((until, order), mail);
+                self.messages.insert((until, order), message);
             }
-            Mail::Answer { node, run, input } => {
+            Message::Answer { node, run, input } => {
                 if self.nodes[node].run == run {
                     self.input(node, input);
                 }
@@ -155,9 +156,9 @@
         let run = self.nodes[node].run;
         for action in actions {
             match action {
-                Action::Read(token) => self.send(Mail::Read { node, run, token }),
+                Action::Read(token) => self.send(Message::Read { node, run, token }),
                 Action::Write(token, transaction) => {
-                    self.send(Mail::Write {
+                    self.send(Message::Write {
                         node,
                         run,
                         token,
@@ -169,8 +170,8 @@
         }
     }
 
-    /// At most one node holds the lease, and no epoch has two holders. A paused
-    /// node counts: it may go on at any moment.
+    /// Checks that at most one node holds the lease and no epoch has two holders.
+    /// Paused nodes count, because they may resume at any moment.
     fn check(&mut self) {
         let mut holding = 0;
         for (at, node) in self.nodes.iter().enumerate() {
@@ -194,7 +195,7 @@
         self.held += holding;
     }
 
-    fn disturb(&mut self) {
+    fn inject_faults(&mut self) {
         let node = self.random.random_range(0..NODES);
         match self.random.random_range(0..8) {
             0 | 1 => {
@@ -236,18 +237,18 @@
         ..ProptestConfig::default()
     })]
 
-    // A holder is paused or cut off from the table while others wait, and
-    // answers are lost or come late. If two nodes ever held the lease, an
-    // endpoint would be ordered about by both.
+    // A holder is paused or disconnected from the table while others contend, and
+    // answers are lost or delayed. If two nodes ever held the lease, both would
+    // send orders to an endpoint.
     #[test]
     fn step_disturbed(seed in any::<u64>()) {
         let mut fleet = Fleet::new(seed);
         for _ in 0..60 {
-            fleet.disturb();
+            fleet.inject_faults();
             let seconds = fleet.random.random_range(0..10);
             fleet.run(seconds);
         }
-        // When all is well again, somebody holds it.
+        // After the faults end, a node acquires the lease.
         fleet.table.command(&Command::Clear);
         fleet.slowness = 100;
         for at in 0..NODES {
@@ -261,7 +262,7 @@
     }
 }
 
-/// Writes as if every step of the row were answered at once.
+/// Runs one input with immediate answers of the table.
 fn settle(claim: &mut Claim, table: &Platform, now: Time, input: Input) {
     let mut actions = Vec::new();
     claim.step(now, input, &mut actions);
@@ -293,8 +294,8 @@
 
 #[gtest]
 fn held_paused() {
-    // The holder is paused for a minute. When it goes on, the first thing it
-    // looks at is the lease, before it could read any message.
+    // The holder is paused for a minute. After it resumes, it checks the lease
+    // before it can read any message.
     let table = Platform::in_virtual_time(START, 1);
     let mut holder = claim("n1", 1);
     settle(&mut holder, &table, START, Input::Tick);
@@ -304,7 +305,7 @@
 
 #[gtest]
 fn contend_released() {
-    // The holder leaves in order, and its successor need not wait.
+    // The holder releases the lease, so its successor need not wait.
     let table = Platform::in_virtual_time(START, 1);
     let mut holder = claim("n1", 1);
     settle(&mut holder, &table, START, Input::Tick);
@@ -319,7 +320,7 @@
 #[gtest]
 fn wrote_answer_lost() {
     // The write took effect and its answer was lost. The holder finds its own
-    // record in the row and need not wait for its own lease to run out.
+    // record in the row and need not wait for its own lease to expire.
     let table = Platform::in_virtual_time(START, 1);
     table.command(&Command::Lose {
         prefix: "lease/".into(),
@@ -335,9 +336,10 @@
 }
 
 #[gtest]
-fn wrote_late_answer_of_another() {
-    // An answer that was given up on arrives while a later write is under way.
-    // Taken for the later one's, it would lengthen the lease without effect.
+fn wrote_late_answer_of_earlier_write() {
+    // A late answer to an earlier write arrives during a later write. If it were
+    // attributed to the later one, it would extend the lease although that write
+    // had no effect.
     let table = Platform::in_virtual_time(START, 1);
     let mut holder = claim("n1", 1);
     settle(&mut holder, &table, START, Input::Tick);
@@ -359,8 +361,8 @@
 
 #[gtest]
 fn step_operations() {
-    // What an hour of one holder and two that wait costs the table;
-    // docs/design/lease.md adds this up over the leases.
+    // Table operations of one holder and two contenders in one hour;
+    // docs/design/lease.md sums them up over all leases.
     let table = Platform::in_virtual_time(START, 1);
     let mut claims = [claim("n1", 1), claim("n2", 2), claim("n3", 3)];
     let mut now = START;
@@ -381,21 +383,21 @@
 }
 
 #[gtest]
-fn keeper_over_platform() {
+fn elector_over_platform() {
     actix_rt::System::new().block_on(async {
         let table = Platform::new(1);
         let setting = Setting::new("a", "n1".into(), 1);
-        let keeper = Elector::new(table.clone(), Clock::start(), setting);
-        actix_rt::spawn(keeper.clone().run());
-        keeper.contend(true);
+        let elector = Elector::new(table.clone(), Clock::start(), setting);
+        actix_rt::spawn(elector.clone().run());
+        elector.contend(true);
         for _ in 0..200 {
-            if keeper.held().is_some() {
+            if elector.held().is_some() {
                 break;
             }
             actix_rt::time::sleep(Duration::from_millis(20)).await;
         }
-        expect_that!(keeper.held().map(|held| held.epoch), some(eq(1)));
-        keeper.contend(false);
-        expect_that!(keeper.held(), none());
+        expect_that!(elector.held().map(|held| held.epoch), some(eq(1)));
+        elector.contend(false);
+        expect_that!(elector.held(), none());
     });
 }
--- a/tests/leave.rs
+++ b/tests/leave.rs
@@ -1,4 +1,4 @@
-//! Planned stops of real nodes.
+//! Graceful shutdown of real nodes.
 
 use googletest::prelude::*;
 use rustix::process::Signal;
@@ -7,9 +7,9 @@
 #[path = "support/env.rs"]
 mod env;
 
-/// A node is told to stop while it streams answers, for its own callers and
-/// for another node. A caller must not notice: no answer is cut short, and the
-/// process ends by itself with code 0.
+/// A node is stopped while it streams answers for its own callers and for another
+/// node. No answer may be truncated, and the process must exit by itself with
+/// code 0.
 #[gtest]
 fn stop_under_load() {
     let mut fleet = env::Fleet::new();
@@ -25,7 +25,7 @@
             std::thread::spawn(move || env::call(&address, "/auburnspoke.v1.Caller/Ask", &ask))
         })
         .collect();
-    env::until("the questions run", || {
+    env::until("the requests run", || {
         fleet.engine_counts(0)["arrived"].as_u64() >= Some(6)
     });
     fleet.nodes[0].signal(Signal::TERM);
@@ -36,8 +36,8 @@
     expect_that!(fleet.nodes[0].wait(), some(eq(0)));
 }
 
-/// A caller asked for an address before the node began to leave and uses it
-/// while the node leaves. It is served, and told to close its connection.
+/// A caller got the address of a node before the node began to leave and uses it
+/// afterwards. It is served and told to close its connection.
 #[gtest]
 fn stop_serves_cached_address() {
     let mut fleet = env::Fleet::new();
@@ -46,7 +46,7 @@
     fleet.settle(2);
     fleet.configure();
     fleet.nodes[0].signal(Signal::TERM);
-    env::until("the other node hears of it", || {
+    env::until("the other node learns of the departure", || {
         let located = fleet.caller(1, "Locate", &json!({"count": 5})).unwrap();
         located["addresses"].as_array().map(Vec::len) == Some(1)
     });
--- a/tests/leave_phase.rs
+++ b/tests/leave_phase.rs
@@ -1,4 +1,4 @@
-//! How a node leaves, step by step.
+//! Phases of a graceful shutdown.
 
 use std::time::Duration;
 
@@ -61,10 +61,10 @@
     }
 }
 
-/// A VM is replaced as planned while callers hold its address. Ending before
-/// their answers have run out would refuse them a connection.
+/// A VM is replaced while callers have its address cached. If it exited before
+/// these entries expire, callers would be refused a connection.
 #[gtest]
-fn stop_serves_until_addresses_run_out() {
+fn stop_serves_until_addresses_expire() {
     let mut node = Node::serving();
     node.input(Input::Stop);
     let first: Vec<Action> = node.done.iter().map(|(_, action)| *action).collect();
@@ -82,10 +82,10 @@
     expect_that!(node.leave.phase(), eq(Phase::Ended));
 }
 
-/// A long answer is still being generated when the addresses have run out. It
-/// must come to its end.
+/// A long answer is still being generated when the cached addresses have expired.
+/// It must complete.
 #[gtest]
-fn stop_waits_for_what_is_in_flight() {
+fn stop_waits_for_in_flight_requests() {
     for work in [
         Work {
             requests: 1,
@@ -107,8 +107,8 @@
     }
 }
 
-/// Chunks are held. Their running items get a moment to end, then they are
-/// written and given up, long before others could take them by expiry.
+/// Chunks are held. Their running items get time to complete, then the results
+/// are written and the leases released, long before they would expire.
 #[gtest]
 fn stop_releases_chunks() {
     let mut node = Node::serving();
@@ -128,7 +128,7 @@
     expect_that!(node.ending(), some(eq((13_000, CLEAN))));
 }
 
-/// Items do not end in their time, as those of a stuck endpoint.
+/// Items do not complete in time, as at an endpoint that hangs.
 #[gtest]
 fn stop_does_not_wait_for_stuck_items() {
     let mut node = Node::serving();
@@ -142,8 +142,8 @@
     expect_that!(node.when(Action::ReleaseChunks), some(eq(5_000)));
 }
 
-/// The platform is down while the node stops, so that its leases can't be given
-/// up. It tries again, and at last leaves them to run out.
+/// The platform is unavailable during the shutdown, so that leases cannot be
+/// released. The node retries and finally leaves them to expire.
 #[gtest]
 fn stop_during_an_outage_leaves_leases_to_run_out() {
     let mut node = Node::serving();
@@ -163,8 +163,8 @@
     expect_that!(ending.is_clean(), eq(true));
 }
 
-/// The platform sends SIGTERM again, as some do each few seconds. A second one
-/// must neither cut answers short nor start the stop anew.
+/// The platform repeats SIGTERM every few seconds. A second one must neither
+/// abort requests nor restart the shutdown.
 #[gtest]
 fn stop_twice_changes_nothing() {
     let mut node = Node::serving();
@@ -179,9 +179,9 @@
     expect_that!(node.ending(), some(eq((20_100, CLEAN))));
 }
 
-/// A person presses Ctrl-C twice and does not want to wait.
+/// An operator presses Ctrl-C twice to skip the wait.
 #[gtest]
-fn hurry_cuts_off_at_once() {
+fn force_stop_aborts_at_once() {
     let mut node = Node::serving();
     node.work.requests = 2;
     node.input(Input::Stop);
@@ -195,8 +195,8 @@
     expect_that!(ending.is_clean(), eq(false));
 }
 
-/// SIGTERM comes before the node serves. Nobody knows of it, so nothing has to
-/// be waited for.
+/// SIGTERM arrives before the node serves. The node was never announced, so it
+/// need not wait.
 #[gtest]
 fn stop_during_start_ends_at_once() {
     let mut leave = Leave::new(Times::default());
@@ -206,10 +206,10 @@
     expect_that!(leave.phase(), eq(Phase::Ended));
 }
 
-/// An answer takes longer than the limit. Its caller gets a final answer and
-/// the process ends; it must not hang for ever.
+/// An answer takes longer than the time limit. Its caller gets a final answer and
+/// the process exits instead of hanging.
 #[gtest]
-fn stop_beyond_its_limit_cuts_off() {
+fn stop_beyond_its_limit_aborts() {
     let mut node = Node::serving();
     node.work.requests = 1;
     node.input(Input::Stop);
@@ -222,8 +222,8 @@
     expect_that!(node.ending(), some(eq((121_000, ending))));
 }
 
-/// The process is paused during its stop and wakes after everything is due.
-/// Each thing still happens once, in order.
+/// The process is paused during its shutdown and resumes after every deadline has
+/// passed. Each action must still happen once, in order.
 #[gtest]
 fn pause_during_a_stop_keeps_the_order() {
     let mut node = Node::serving();
--- a/tests/locate_answer.rs
+++ b/tests/locate_answer.rs
@@ -1,4 +1,4 @@
-//! Which addresses callers are told.
+//! Selection of addresses for callers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,9 +8,9 @@
 use auburnspoke::outcome::Reason;
 use googletest::prelude::*;
 
-const QUESTIONS: u64 = 12_000;
+const REQUESTS: u64 = 12_000;
 
-/// Nodes of each zone, named by zone and number.
+/// Returns a view with nodes named by zone and number.
 fn view(zones: &[(&str, usize)]) -> View {
     let mut members: Vec<Member> = zones
         .iter()
@@ -43,19 +43,20 @@
     }
 }
 
-/// How often each address came first for callers of `zone`.
+/// Returns how often each address is the first one for callers of `zone`.
 fn firsts(view: &View, zone: &str) -> BTreeMap<String, u64> {
     let mut counts = BTreeMap::new();
-    for ticket in 0..QUESTIONS {
+    for ticket in 0..REQUESTS {
         let answer = locate(view, "a-1", zone, 3, ticket).unwrap();
         *counts.entry(answer.addresses[0].to_string()).or_default() += 1;
     }
     counts
 }
 
-/// Sum of squared deviations over the expectation, as in Pearson's test.
+/// Returns the sum of squared deviations over the expectation, as in Pearson's
+/// test.
 fn chi_square(counts: &BTreeMap<String, u64>, nodes: usize) -> f64 {
-    let expected = QUESTIONS as f64 / nodes as f64;
+    let expected = REQUESTS as f64 / nodes as f64;
     let counted = counts
         .values()
         .map(|count| (*count as f64 - expected).powi(2) / expected);
@@ -74,12 +75,12 @@
     let view = view(&[("a-1", 12), ("a-2", 12), ("b-1", 12)]);
     let counts = firsts(&view, "a-1");
     expect_that!(counts.keys().all(|a| a.starts_with("at-a-1")), eq(true));
-    // With 11 degrees of freedom, 31.3 is passed once in a thousand seeds.
+    // With 11 degrees of freedom, 31.3 is exceeded by one seed in a thousand.
     expect_that!(chi_square(&counts, 12), lt(31.3));
 }
 
 #[gtest]
-fn locate_names_another_zone_last() {
+fn locate_returns_another_zone_last() {
     let view = view(&[("a-1", 12), ("a-2", 12), ("b-1", 12)]);
     for ticket in 0..200 {
         let answer = locate(&view, "a-1", "a-1", 3, ticket).unwrap();
@@ -97,10 +98,10 @@
     }
 }
 
-/// A node says that it is leaving, or is found dead. A caller that is sent there
-/// would be cut off, or wait in vain.
+/// A node is leaving or dead. A caller that is sent there would be disconnected
+/// or wait in vain.
 #[gtest]
-fn locate_never_names_leaving_or_dead() {
+fn locate_never_returns_leaving_or_dead() {
     for state in [State::Leaving, State::Dead, State::Suspect] {
         let mut view = view(&[("a-1", 5), ("a-2", 5)]);
         put(&mut view, "a-1", state);
@@ -113,17 +114,18 @@
     }
 }
 
-/// A zone loses all but one of its nodes. All callers of that zone on the one
-/// that is left would be eight times its share, and it would fall over too.
+/// A zone loses all but one of its nodes. If all callers of the zone were sent to
+/// that node, it would get eight times its share and become overloaded too.
 #[gtest]
-fn locate_last_of_a_zone_is_not_overrun() {
+fn locate_last_of_a_zone_is_not_overloaded() {
     let view = view(&[("a-1", 1), ("a-2", 12), ("a-3", 12)]);
     let mut counts = firsts(&view, "a-1");
-    let mean = 3 * QUESTIONS / 25;
+    let mean = 3 * REQUESTS / 25;
     let survivor = counts.remove("at-a-1-00").unwrap_or_default();
     expect_that!(survivor, le(mean * 16 / 10));
-    // The others share the rest evenly: 23 degrees of freedom, one in a thousand.
-    let rest = QUESTIONS - survivor;
+    // The others share the rest evenly: 23 degrees of freedom, exceeded by one
+    // seed in a thousand.
+    let rest = REQUESTS - survivor;
     let expected = rest as f64 / 24.0;
     let counted = counts
         .values()
@@ -131,7 +133,7 @@
     expect_that!(counted.sum::<f64>(), lt(49.7));
 }
 
-/// Everyone is leaving, as when the whole fleet is being stopped.
+/// All nodes are leaving, as when the whole fleet is shut down.
 #[gtest]
 fn locate_all_leaving_says_when_to_come_back() {
     let mut view = view(&[("a-1", 3)]);
@@ -141,8 +143,8 @@
     expect_that!(refusal.retry_after, some(gt(Duration::ZERO)));
 }
 
-/// The node that answers has lost touch with all others for a moment and takes
-/// them for suspect. They are better than nothing.
+/// The answering node has briefly lost contact with all others and marks them as
+/// suspect. Suspect nodes are better than none.
 #[gtest]
 fn locate_only_suspects_are_better_than_none() {
     let mut view = view(&[("a-1", 3)]);
@@ -174,17 +176,17 @@
     expect_that!(unique.len(), eq(16));
 }
 
-/// Many callers ask in the same moment, as after a failure. If all might keep
-/// the answer equally long, they would all ask again in the same moment.
+/// Many callers call Locate at the same moment, as after a failure. With equal
+/// TTLs they would all call again at the same moment.
 #[gtest]
-fn locate_keep_is_spread_and_bounded() {
+fn locate_ttl_is_jittered_and_bounded() {
     let view = view(&[("a-1", 3)]);
-    let keeps: Vec<Duration> = (0..1_000)
+    let ttls: Vec<Duration> = (0..1_000)
         .map(|ticket| locate(&view, "a-1", "a-1", 3, ticket).unwrap().ttl)
         .collect();
-    expect_that!(keeps, each(le(&ADDRESS_TTL)));
-    expect_that!(keeps, each(ge(&(ADDRESS_TTL * 4 / 5))));
-    let mut different = keeps;
+    expect_that!(ttls, each(le(&ADDRESS_TTL)));
+    expect_that!(ttls, each(ge(&(ADDRESS_TTL * 4 / 5))));
+    let mut different = ttls;
     different.sort();
     different.dedup();
     expect_that!(different.len(), gt(500));
--- a/tests/member_fault.rs
+++ b/tests/member_fault.rs
@@ -15,7 +15,7 @@
 /// A VM crashes. Until its peers detect it, callers are sent to an address where
 /// nothing answers.
 #[gtest]
-fn crash_is_detected_by_all() {
+fn crash_is_noticed_by_all() {
     for seed in 0..5 {
         let mut net = Net::fleet(seed, COUNT);
         let start = net.now;
