--- a/src/config.rs
+++ b/src/config.rs
@@ -1,7 +1,7 @@
-//! The configuration document that operators change and every node obeys.
+//! The configuration document, which operators change and every node applies.
 //!
-//! docs/design/config.md tells how a change is accepted, spread and never
-//! taken back.
+//! docs/design/config.md describes how a change is accepted and disseminated, and
+//! why a node never returns to an older version.
 
 use std::collections::BTreeMap;
 
@@ -18,7 +18,7 @@
 pub mod row;
 pub mod watch;
 
-/// What answers a service's requests.
+/// Kind of back end that serves a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
     /// Model engines with a streaming completion protocol.
@@ -27,65 +27,66 @@
     Plain,
 }
 
-/// A service that callers can ask.
+/// A service that callers can send requests to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: Name,
-    /// What answers it.
+    /// Kind of back end that serves it.
     pub kind: Kind,
-    /// The model its endpoints must hold; empty for a plain service.
+    /// Model that its endpoints must have loaded; empty for a plain service.
     pub model: Name,
-    /// The model's version.
+    /// Version of the model.
     pub model_version: Name,
-    /// Adapters its endpoints must hold.
+    /// Adapters that its endpoints must have loaded.
     pub adapters: Vec<Name>,
-    /// Bound in milliseconds on a question when the caller names none.
+    /// Default deadline of a request in milliseconds.
     pub deadline_ms: u32,
-    /// Bound on generated tokens when the caller names none.
+    /// Default limit on generated tokens.
     pub max_tokens: u32,
-    /// Wanted number of endpoints that hold the model; 0 leaves them alone.
+    /// Target number of endpoints that have the model loaded; 0 disables
+    /// placement for the service.
     pub replicas: u32,
     /// From 0 (batch throughput) to 100 (online tail latency).
     pub latency_weight: u32,
 }
 
-/// A back end that the system routes to.
+/// A back end that requests are routed to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Endpoint {
-    /// Its name.
+    /// Name of the endpoint.
     pub name: Name,
-    /// Where it listens, as ip:port.
+    /// Address that it listens on, as ip:port.
     pub address: Name,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: Name,
-    /// The services it can answer.
+    /// Services that it can serve.
     pub services: Vec<Name>,
-    /// True when it refuses orders that carry an old fencing number.
+    /// True if it rejects orders with an outdated fencing token.
     pub checks_fencing: bool,
-    /// Sequences it can run at the same time.
+    /// Maximum number of concurrent sequences.
     pub slots: u32,
-    /// True when it gets no new work.
+    /// True if it gets no new work.
     pub leaving: bool,
 }
 
-/// Bounds and share of one organisation.
+/// Limits and share of one organisation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Organisation {
-    /// Its name.
+    /// Name of the organisation.
     pub name: Name,
-    /// Questions a second over the fleet; 0 is no bound.
+    /// Requests per second over the whole fleet; 0 means unlimited.
     pub rate: u32,
-    /// Questions at a time over the fleet; 0 is no bound.
+    /// Concurrent requests over the whole fleet; 0 means unlimited.
     pub concurrency: u32,
-    /// Share of batch work against other organisations; at least 1.
+    /// Weight of its batch work relative to other organisations; at least 1.
     pub weight: u32,
 }
 
 /// One version of the whole configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
-    /// Counts up with every accepted change; 0 means none is known.
+    /// Incremented with every accepted change; 0 means that none is known.
     pub version: u64,
     /// Services by name.
     pub services: BTreeMap<Name, Service>,
@@ -96,7 +97,7 @@
 }
 
 impl Document {
-    /// The endpoints that may get new work of `service`, in name order.
+    /// Returns the endpoints that may get new work of `service`, in name order.
     pub fn endpoints_of<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Endpoint> {
         self.endpoints.values().filter(move |endpoint| {
             !endpoint.leaving && endpoint.services.iter().any(|name| &**name == service)
--- a/src/config/check.rs
+++ b/src/config/check.rs
@@ -1,5 +1,5 @@
-//! Checks of a document that an operator sends: every problem in one pass,
-//! each with its place, so that one round of corrections is enough.
+//! Validates a document sent by an operator. It reports every problem in one
+//! pass, each with its place, so that one round of corrections is enough.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,31 +9,31 @@
 use crate::name::{self, Name};
 use crate::rpc::v1;
 
-/// Most services in a document.
+/// Maximum number of services in a document.
 pub const MAX_SERVICES: usize = 200;
-/// Most endpoints in a document.
+/// Maximum number of endpoints in a document.
 pub const MAX_ENDPOINTS: usize = 4_000;
-/// Most organisations in a document.
+/// Maximum number of organisations in a document.
 pub const MAX_ORGANISATIONS: usize = 10_000;
-/// Longest document as a row of the table, in bytes. Every node reads the
-/// whole of it after each change.
+/// Maximum size of a document as a table row, in bytes. Every node reads all of
+/// it after each change.
 pub const MAX_BYTES: usize = 1024 * 1024;
-/// Longest deadline of a question, in milliseconds.
+/// Maximum deadline of a request, in milliseconds.
 pub const MAX_DEADLINE_MS: u32 = 3_600_000;
-/// Deadline of a service that names none, in milliseconds.
+/// Default deadline of a service, in milliseconds.
 pub const DEFAULT_DEADLINE_MS: u32 = 30_000;
-/// Bound on tokens of a model service that names none.
+/// Default token limit of a model service.
 pub const DEFAULT_MAX_TOKENS: u32 = 1_024;
-/// Most sequences that an endpoint may be said to run at a time.
+/// Maximum number of concurrent sequences of an endpoint.
 pub const MAX_SLOTS: u32 = 4_096;
 const MAX_LATENCY_WEIGHT: u32 = 100;
 
-/// Something wrong in a document.
+/// A problem in a document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// Where, as `services[2].name`.
+    /// Place of the problem, such as `services[2].name`.
     pub place: String,
-    /// What is wrong, and what to write instead.
+    /// What is wrong and what to write instead.
     pub message: String,
 }
 
@@ -52,10 +52,10 @@
     }
 }
 
-/// Turns what an operator sent into a document of version 0.
+/// Converts a configuration from an operator into a document of version 0.
 ///
 /// # Errors
-/// Every problem that was found, in the order of the document.
+/// All problems, in the order of the document.
 pub fn document(config: &v1::Config) -> Result<Document, Vec<Problem>> {
     let mut check = Check::default();
     let mut document = Document::default();
@@ -104,7 +104,7 @@
 #[derive(Default)]
 struct Check<'a> {
     problems: Vec<Problem>,
-    /// Where each address was first used.
+    /// Place of the first use of each address.
     addresses: BTreeMap<&'a str, String>,
 }
 
@@ -129,11 +129,11 @@
         }
     }
 
-    fn count(&mut self, place: &str, count: usize, most: usize) {
-        if count > most {
+    fn count(&mut self, place: &str, count: usize, limit: usize) {
+        if count > limit {
             self.add(
                 place,
-                format!("has {count} entries; at most {most} are allowed"),
+                format!("has {count} entries; at most {limit} are allowed"),
             );
         }
     }
@@ -144,7 +144,7 @@
             unique,
             place,
             "name",
-            format!("{name} is there twice; remove one"),
+            format!("{name} occurs twice; remove one"),
         );
     }
 
@@ -167,7 +167,7 @@
                 unique,
                 place,
                 &field,
-                format!("{name} is there twice; remove one"),
+                format!("{name} occurs twice; remove one"),
             );
             names.push(name);
         }
@@ -179,7 +179,7 @@
             v1::ServiceKind::Plain => Kind::Plain,
             v1::ServiceKind::Model => Kind::Model,
             v1::ServiceKind::Unspecified => {
-                let message = "say SERVICE_KIND_MODEL or SERVICE_KIND_PLAIN";
+                let message = "must be SERVICE_KIND_MODEL or SERVICE_KIND_PLAIN";
                 self.add(format!("{place}.kind"), message);
                 Kind::Plain
             }
@@ -211,9 +211,9 @@
             model: service.model.as_str().into(),
             model_version: service.model_version.as_str().into(),
             adapters: self.names(place, "adapters", &service.adapters),
-            deadline_ms: or(service.deadline_ms, DEFAULT_DEADLINE_MS),
+            deadline_ms: or_default(service.deadline_ms, DEFAULT_DEADLINE_MS),
             max_tokens: match kind {
-                Kind::Model => or(service.max_tokens, DEFAULT_MAX_TOKENS),
+                Kind::Model => or_default(service.max_tokens, DEFAULT_MAX_TOKENS),
                 Kind::Plain => service.max_tokens,
             },
             replicas: service.replicas,
@@ -231,8 +231,8 @@
         self.address(place, &endpoint.address);
         let zone = self.name(place, "zone", &endpoint.zone);
         let services = self.names(place, "services", &endpoint.services);
-        let some = !services.is_empty();
-        self.require(some, place, "services", "name at least one service");
+        let has_services = !services.is_empty();
+        self.require(has_services, place, "services", "name at least one service");
         let mut kinds = Vec::new();
         for (at, name) in services.iter().enumerate() {
             match document.services.get(name) {
@@ -243,9 +243,9 @@
                 ),
             }
         }
-        let alike = kinds.windows(2).all(|pair| pair[0] == pair[1]);
-        let message = "an endpoint can't answer both model and plain services";
-        self.require(alike, place, "services", message);
+        let same_kind = kinds.windows(2).all(|pair| pair[0] == pair[1]);
+        let message = "an endpoint can't serve both model and plain services";
+        self.require(same_kind, place, "services", message);
         let slots = (1..=MAX_SLOTS).contains(&endpoint.slots);
         self.require(
             slots,
@@ -270,7 +270,8 @@
         let message = format!("{address:?} is not ip:port, such as 10.0.0.7:8000");
         self.require(valid, place, "address", message);
         if let Some(other) = self.addresses.get(address) {
-            // Two names for one back end would each admit work to all its slots.
+            // Two names for one back end would each admit work to all of its
+            // slots.
             let message = format!("{address} is also the address of {other}");
             self.add(format!("{place}.address"), message);
         } else {
@@ -288,7 +289,7 @@
     }
 }
 
-/// 0 stands for a field that was left out.
-fn or(value: u32, default: u32) -> u32 {
+/// Returns `default` for a value of 0, which means that the field was omitted.
+fn or_default(value: u32, default: u32) -> u32 {
     if value == 0 { default } else { value }
 }
--- a/src/config/commit.rs
+++ b/src/config/commit.rs
@@ -1,5 +1,5 @@
-//! Accepting a change: one conditional transaction, and reading back when its
-//! answer is lost.
+//! Commits a change in one conditional transaction, and reads back its outcome if
+//! the answer is lost.
 
 use std::time::Duration;
 
@@ -10,66 +10,65 @@
 use crate::outcome::{Outcome, Reason, Refusal};
 use crate::table::{Expect, Fault, Table, Transaction};
 
-/// Tries to commit or to read back before the operator is told that the fate
-/// of the change is unknown.
-const TRIES: u32 = 6;
-/// Pause between tries, so that a throttled table is not pressed further.
-const PAUSE: Duration = Duration::from_millis(150);
-/// When to come back after the platform gave no time.
+/// Attempts to commit or read back before the outcome of the change is reported
+/// as unknown.
+const MAX_ATTEMPTS: u32 = 6;
+/// Delay between attempts, so that a throttled table is not loaded further.
+const ATTEMPT_INTERVAL: Duration = Duration::from_millis(150);
+/// Retry delay if the platform gave none.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A change that an operator wants.
+/// A change requested by an operator.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The version that it was made from; 0 when there was none.
+    /// Version that it is based on; 0 if there was none.
     pub expect: u64,
-    /// The new document; its version is of no matter.
+    /// The new document; its version is ignored.
     pub document: Document,
-    /// Who makes it.
+    /// Author of the change.
     pub author: String,
-    /// Why.
+    /// Reason for the change.
     pub note: String,
-    /// Identity of the change: random, and used for this change alone.
+    /// Random identifier of this change.
     pub id: u64,
-    /// Wall-clock time in milliseconds since 1970, for people.
+    /// Wall-clock time in milliseconds since 1970, for display only.
     pub at_ms: u64,
-    /// Check and compare only.
+    /// Validate and compare only.
     pub dry_run: bool,
 }
 
-/// A change that was accepted, or would be.
+/// A change that was accepted, or would be in a dry run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Accepted {
-    /// The document with its version: the committed one, or in a dry run the
-    /// one that is current.
+    /// The committed document with its version or, in a dry run, the current one.
     pub document: Document,
-    /// One line for each thing that changed.
+    /// One line for each difference.
     pub diff: Vec<String>,
 }
 
-/// Why a change was not accepted.
+/// Reason why a change was not accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Error {
-    /// The document is wrong; nothing changed.
+    /// The document is invalid; nothing changed.
     Invalid(Vec<Problem>),
-    /// Somebody else changed the configuration first; nothing changed.
+    /// The configuration was changed concurrently; nothing changed.
     Conflict {
-        /// The version that is current.
+        /// The current version.
         current: u64,
     },
-    /// The platform refused; nothing changed.
+    /// The platform refused the change; nothing changed.
     Refused {
-        /// When to come back.
+        /// Delay before a retry.
         retry_after: Duration,
     },
-    /// This node hears too few others to accept a change; nothing changed.
+    /// Too few nodes acknowledged the change; nothing changed.
     Isolated,
     /// The platform's answer was lost, and reading back failed as well.
     Unknown,
 }
 
 impl Error {
-    /// The same as every refusal is told to those who ask.
+    /// Converts the error into the outcome that is returned to callers.
     pub fn into_outcome<T>(self) -> Outcome<T> {
         match self {
             Self::Invalid(problems) => {
@@ -86,12 +85,12 @@
             }
             Self::Isolated => Outcome::NotRun(
                 Refusal::new(Reason::NotReady)
-                    .with_message("this node hears fewer than half of the others; ask another one"),
+                    .because("this node reaches fewer than half of the others; use another one"),
             ),
             Self::Unknown => Outcome::MayHaveRun(
                 Refusal::new(Reason::Platform)
                     .after(RETRY_AFTER)
-                    .with_message("the change may have been accepted; look at the history"),
+                    .because("the change may have been accepted; check the history"),
             ),
         }
     }
@@ -101,7 +100,7 @@
     fn from(fault: Fault) -> Self {
         match fault {
             Fault::Refused { retry_after } => Self::Refused { retry_after },
-            // A read changes nothing, whatever became of its answer.
+            // A read has no effect, so a lost answer is a refusal.
             Fault::Unknown | Fault::Conflict { .. } => Self::Refused {
                 retry_after: RETRY_AFTER,
             },
@@ -109,31 +108,31 @@
     }
 }
 
-/// How much of the fleet acknowledged an announcement, the announcing node
-/// included.
+/// Nodes that acknowledged an announcement, including the announcing node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reach {
-    /// Nodes that know of it.
+    /// Number of nodes that acknowledged it.
     pub acknowledged: usize,
-    /// Nodes that there are.
+    /// Number of nodes in the fleet.
     pub total: usize,
 }
 
-/// Tells other nodes that a version is about to be committed.
+/// Announces to other nodes that a version is about to be committed.
 ///
-/// During a platform outage, nodes go on by a configuration that nobody can
-/// have superseded (see [`super::follow`]). Without the announcement, a node on
-/// the smaller side of a cut that still reaches the table could accept a change
-/// while the larger side, which does not, took the cut for an outage and went
-/// on by the old configuration.
+/// During a platform outage, nodes continue with a configuration that cannot have
+/// been superseded (see [`super::follow`]). Without the announcement, a node on
+/// the smaller side of a partition that still reaches the table could commit a
+/// change while the larger side, which does not reach it, mistakes the partition
+/// for an outage and continues with the old configuration.
 pub trait Announce {
-    /// Tells as many nodes as can be reached, and returns once at least half of
-    /// the fleet has acknowledged or a few seconds have passed.
+    /// Announces the version to as many nodes as possible and returns once at
+    /// least half of the fleet has acknowledged it or a few seconds have passed.
     async fn announce(&self, version: u64) -> Reach;
 }
 
-/// The weaker rule for nodes that can't be asked: whoever seems alive is taken
-/// to know. It leaves open the seconds in which a cut has not been noticed.
+/// Weaker implementation for nodes that cannot be queried: every member that is
+/// alive counts as acknowledged. It does not cover the seconds before a partition
+/// is detected.
 impl Announce for View {
     async fn announce(&self, _version: u64) -> Reach {
         let counted = self
@@ -150,17 +149,17 @@
     }
 }
 
-/// What the table holds now.
+/// Current content of the table.
 struct Current {
     pointer: Pointer,
-    row_version: Option<u64>,
+    pointer_version: Option<u64>,
     document: Document,
 }
 
-/// Reads the current document; version 0 when there is none yet.
+/// Reads the current document; version 0 if there is none yet.
 ///
 /// # Errors
-/// [`Error::Refused`] when the table can't be read.
+/// [`Error::Refused`] if the table cannot be read.
 pub async fn read<T>(table: &T) -> Result<Document, Error>
 where
     T: Table,
@@ -168,7 +167,7 @@
     Ok(current(table).await?.document)
 }
 
-/// Accepts or refuses a change.
+/// Commits or rejects a change.
 ///
 /// # Errors
 /// [`Error`]; only [`Error::Unknown`] leaves open whether it was accepted.
@@ -205,16 +204,16 @@
 where
     T: Table,
 {
-    // The two rows may be read on either side of somebody's commit; reading
-    // again settles it.
-    for _ in 0..TRIES {
+    // The two rows may be read before and after a concurrent commit; reading them
+    // again resolves the mismatch.
+    for _ in 0..MAX_ATTEMPTS {
         let Some(pointer_row) = table.get(POINTER_KEY).await? else {
             return Ok(Current {
                 pointer: Pointer {
                     version: 0,
                     change: 0,
                 },
-                row_version: None,
+                pointer_version: None,
                 document: Document::default(),
             });
         };
@@ -226,7 +225,7 @@
         {
             return Ok(Current {
                 pointer,
-                row_version: Some(pointer_row.version),
+                pointer_version: Some(pointer_row.version),
                 document,
             });
         }
@@ -255,7 +254,9 @@
         at_ms: request.at_ms,
         diff,
     };
-    let expect = current.row_version.map_or(Expect::Absent, Expect::Version);
+    let expect = current
+        .pointer_version
+        .map_or(Expect::Absent, Expect::Version);
     let transaction = Transaction::default()
         .check(POINTER_KEY, expect)
         .put(POINTER_KEY, row::encode(&pointer))
@@ -267,18 +268,17 @@
     }
 }
 
-/// Sends the transaction until its fate is known.
+/// Sends the transaction until its outcome is known.
 ///
-/// Sending it again is safe: both copies demand the same version of the
-/// pointer row, so that at most one of them takes effect, even when the first
-/// one was only delayed.
+/// Repeating it is safe: all copies require the same version of the pointer row,
+/// so at most one of them takes effect, even if an earlier one was only delayed.
 async fn commit<T>(table: &T, transaction: Transaction, request: &Request) -> Result<(), Error>
 where
     T: Table,
 {
     let mut in_doubt = false;
     let mut refused = RETRY_AFTER;
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         match table.transact(transaction.clone()).await {
             Ok(_) => return Ok(()),
             Err(Fault::Unknown) => in_doubt = true,
@@ -289,7 +289,7 @@
                 }
             }
         }
-        actix_rt::time::sleep(PAUSE).await;
+        actix_rt::time::sleep(ATTEMPT_INTERVAL).await;
     }
     if in_doubt {
         return Err(Error::Unknown);
@@ -299,17 +299,17 @@
     })
 }
 
-/// After a conflict: whether it was this very change that took effect, or
-/// somebody else's; nothing when that can't be read.
+/// Returns whether a conflict was caused by this change itself or by a concurrent
+/// one; `None` if that cannot be read.
 async fn read_back<T>(table: &T, request: &Request, in_doubt: bool) -> Option<Result<(), Error>>
 where
     T: Table,
 {
-    let made = request.expect + 1;
+    let committed_version = request.expect + 1;
     if in_doubt {
-        // Others may have changed it further, so that history is asked, not
-        // the pointer.
-        let found = table.get(&row::history_key(made)).await.ok()?;
+        // The configuration may have changed again since, so the history is read
+        // instead of the pointer.
+        let found = table.get(&row::history_key(committed_version)).await.ok()?;
         let change = found.and_then(|found| row::decode::<Change>(&found.value));
         if change.is_some_and(|change| change.id == request.id) {
             return Some(Ok(()));
--- a/src/config/convert.rs
+++ b/src/config/convert.rs
@@ -1,10 +1,10 @@
-//! Between the document and the schema's types.
+//! Conversion of the document to the types of the schema.
 
 use super::{Document, Endpoint, Kind, Organisation, Service, row};
 use crate::name::Name;
 use crate::rpc::v1;
 
-/// The document as the schema has it.
+/// Converts a document to the schema's type.
 pub fn to_schema(document: &Document) -> v1::Config {
     v1::Config {
         services: document.services.values().map(service).collect(),
@@ -13,7 +13,7 @@
     }
 }
 
-/// A service as the schema has it.
+/// Converts a service to the schema's type.
 pub fn service(service: &Service) -> v1::Service {
     let kind = match service.kind {
         Kind::Model => v1::ServiceKind::Model,
@@ -32,7 +32,7 @@
     }
 }
 
-/// An endpoint as the schema has it.
+/// Converts an endpoint to the schema's type.
 pub fn endpoint(endpoint: &Endpoint) -> v1::Endpoint {
     v1::Endpoint {
         name: endpoint.name.to_string(),
@@ -45,7 +45,7 @@
     }
 }
 
-/// A change as the schema has it.
+/// Converts a change to the schema's type.
 pub fn change(change: row::Change) -> v1::Change {
     v1::Change {
         version: change.version,
--- a/src/config/diff.rs
+++ b/src/config/diff.rs
@@ -1,4 +1,4 @@
-//! What changed between two documents, one line each.
+//! Differences between two documents, one line each.
 
 use std::collections::BTreeMap;
 
@@ -8,8 +8,8 @@
 use super::Document;
 use crate::name::Name;
 
-/// One line a change: `+` added, `-` removed, `~` replaced, with the fields
-/// that differ. No lines mean that the documents say the same.
+/// Returns one line per change: `+` added, `-` removed, `~` replaced, with the
+/// fields that differ. No lines mean that the documents are equal.
 pub fn lines(old: &Document, new: &Document) -> Vec<String> {
     let mut lines = Vec::new();
     compare("service", &old.services, &new.services, &mut lines);
@@ -41,12 +41,12 @@
     }
 }
 
-/// The fields that differ, as `field old -> new`.
+/// Returns the fields that differ, as `field old -> new`.
 fn fields<T>(old: &T, new: &T) -> String
 where
     T: Serialize,
 {
-    // Documents are plain data, so that neither side can fail to be written.
+    // Documents are plain data, so serialisation cannot fail.
     let old = serde_json::to_value(old).unwrap_or(Value::Null);
     let new = serde_json::to_value(new).unwrap_or(Value::Null);
     let (Value::Object(old), Value::Object(new)) = (old, new) else {
--- a/src/config/follow.rs
+++ b/src/config/follow.rs
@@ -1,17 +1,17 @@
-//! Which version of the configuration this node may act by, as a pure
-//! decision.
+//! Decides which version of the configuration this node may apply, as a pure
+//! state machine.
 //!
-//! A node acts by a document only while it knows that the document was current
-//! at most [`EVIDENCE_TTL`] ago. It knows so by one of two things: the table said so,
-//! to this node or to a peer that answers it; or the platform is down for most
-//! of the fleet, so that nothing newer can have been accepted. A node that
-//! knows neither (it is cut off, was paused, or has just started) refuses work.
-//! docs/design/config.md has the argument; [`super::commit::Announce`] is its
-//! other half.
+//! A node applies a document only if it has evidence that the document was
+//! current at most [`EVIDENCE_TTL`] ago. There are two kinds of evidence: the
+//! table confirmed it, to this node or to a peer that answers it; or the platform
+//! is unavailable for most of the fleet, so that nothing newer can have been
+//! accepted. A node without evidence (because it is partitioned, was paused, or
+//! has just started) refuses work. docs/design/config.md has the proof;
+//! [`super::commit::Announce`] is the other part of the protocol.
 //!
-//! All evidence is dated by when this node *asked*, never by when the answer
-//! was read: a node that was paused finds old answers in its buffers, and they
-//! must not look new.
+//! All evidence is dated by the time at which this node sent its request, never
+//! by the time at which the answer was read: a node that was paused finds old
+//! answers in its buffers, which must not count as new.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -27,41 +27,42 @@
 
 pub use message::{Action, InForce, Input, Report};
 
-/// How long evidence that a document is current lasts. A change is in force
-/// everywhere, or the node refuses work, within this time.
+/// How long evidence that a document is current remains valid. Within this time,
+/// a change is in force on every node, or the node refuses work.
 pub const EVIDENCE_TTL: Duration = Duration::from_secs(13);
-/// How often the small row is read while the table answers.
+/// Interval between reads of the pointer row while the table answers.
 pub const POLL_INTERVAL: Duration = Duration::from_secs(6);
-/// How soon it is read again when the table did not answer.
-const POLL_AGAIN: Duration = Duration::from_secs(1);
-/// Reads of the document are spread over this time, so that a fleet that hears
-/// of a change at once does not read it at once.
-const SPREAD: Duration = Duration::from_secs(1);
-/// An answer that takes longer is not waited for.
+/// Delay before the next read after the table did not answer.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Reads of the document are delayed by up to this time, so that nodes that learn
+/// of a change at the same moment do not all read it at once.
+const MAX_FETCH_DELAY: Duration = Duration::from_secs(1);
+/// Time after which an answer is considered lost.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
-/// Without evidence for this long, peers are asked.
-const ASK_AFTER: Duration = Duration::from_secs(9);
-/// A peer that was asked this lately is not asked again.
-const ASK_AGAIN: Duration = Duration::from_secs(3);
-/// Part of the fleet that is asked in one tick of a second: more than half of
-/// it answers well within [`EVIDENCE_TTL`], and an outage costs a bounded traffic.
-const ASK_PART: usize = 16;
-/// Peers that are asked in one tick of a second even when the part is smaller.
-const ASK_LEAST: usize = 3;
-/// This long after its announcement, a change has been accepted or given up:
-/// an announcement is forgotten when the table names a lower version then.
-const ANNOUNCED: Duration = Duration::from_secs(30);
+/// Age of the evidence from which on peers are queried.
+const QUERY_AFTER: Duration = Duration::from_secs(9);
+/// Minimum interval between queries to the same peer.
+const QUERY_INTERVAL: Duration = Duration::from_secs(3);
+/// One in this many peers is queried per tick of one second: more than half of
+/// them answer well within [`EVIDENCE_TTL`], and an outage causes bounded
+/// traffic.
+const QUERY_FRACTION: usize = 16;
+/// Minimum number of peers queried per tick of one second.
+const MIN_QUERIES: usize = 3;
+/// Time after its announcement by which a change has been accepted or abandoned:
+/// an announcement is then dropped if the table has a lower version.
+const ANNOUNCEMENT_TTL: Duration = Duration::from_secs(30);
 
-/// Decides what this node may act by.
+/// Decides which configuration this node may apply.
 #[derive(Debug)]
 pub struct Follower {
     started: Time,
-    spread: Duration,
+    fetch_delay: Duration,
     force: InForce,
     newest: u64,
     announced: Option<(u64, Time)>,
-    /// The latest time at which the table is known to have had `force.document`
-    /// or an older one as current.
+    /// Latest time at which the table is known to have had `force.document` or an
+    /// older version as current.
     confirmed: Option<Time>,
     /// Evidence about a newer version than `force.document`.
     newer: Option<(u64, Time)>,
@@ -70,20 +71,21 @@
     asked: BTreeMap<Name, Time>,
     poll_at: Time,
     fetch_at: Option<Time>,
-    /// Since when a read of the small row is under way.
+    /// Start of the outstanding read of the pointer row.
     polling: Option<Time>,
-    /// Since when a read of the document is under way.
+    /// Start of the outstanding read of the document.
     fetching: Option<Time>,
 }
 
 impl Follower {
-    /// A node that knows nothing yet. `node` spreads the reads of the fleet.
+    /// Creates a follower without a document. `node` determines the delay of its
+    /// reads of the document.
     pub fn new(now: Time, node: &str) -> Self {
         let hash = xxhash_rust::xxh3::xxh3_64(node.as_bytes());
         let part = (hash % 1_000) as f64 / 1_000.0;
         Self {
             started: now,
-            spread: SPREAD.mul_f64(part),
+            fetch_delay: MAX_FETCH_DELAY.mul_f64(part),
             force: InForce {
                 document: Arc::default(),
                 until: Time::ZERO,
@@ -102,17 +104,17 @@
         }
     }
 
-    /// What is in force, if its time has not run out.
+    /// Returns the document in force and its expiry.
     pub const fn force(&self) -> &InForce {
         &self.force
     }
 
-    /// The newest version that this node has heard of.
+    /// Returns the newest version known to this node.
     pub const fn newest(&self) -> u64 {
         self.newest
     }
 
-    /// The answer to a peer that asks.
+    /// Returns the answer to a query of a peer.
     pub fn report(&self, now: Time) -> Report {
         let fresh = self
             .confirmed
@@ -128,13 +130,13 @@
         }
     }
 
-    /// When [`Input::Tick`] is due next.
+    /// Returns when [`Input::Tick`] is due next.
     pub fn wake(&self) -> Time {
         self.fetch_at
             .map_or(self.poll_at, |at| at.min(self.poll_at))
     }
 
-    /// Takes one input and appends what must be done to `actions`.
+    /// Handles one input and appends the resulting actions to `actions`.
     pub fn step(&mut self, now: Time, input: Input, actions: &mut Vec<Action>) {
         match input {
             Input::Tick => self.tick(now, actions),
@@ -142,15 +144,15 @@
             Input::Fetched { asked, result } => {
                 self.fetching = None;
                 if let Ok(Some(document)) = result {
-                    self.take_current(now, asked, document, actions);
+                    self.apply_current(now, asked, document, actions);
                 }
             }
-            Input::Offered(document) => self.adopt(now, document, actions),
+            Input::Offered(document) => self.apply(now, document, actions),
             Input::Committed { asked, document } => {
-                self.take_current(now, asked, document, actions);
+                self.apply_current(now, asked, document, actions);
             }
             Input::Announced(version) => self.announce(now, version),
-            Input::Mentioned(version) => self.heard(now, version),
+            Input::Mentioned(version) => self.note_version(now, version),
             Input::Answered {
                 peer,
                 asked,
@@ -165,16 +167,17 @@
         self.force.document.version
     }
 
-    /// Nodes of the fleet as far as anybody has told, so that a node that has
-    /// just started and knows only a few does not take them for most of it.
+    /// Returns the largest fleet size that this node or a peer has reported, so
+    /// that a node that has just started and knows only a few peers does not
+    /// mistake them for a majority.
     fn members(&self) -> u32 {
         let known = u32::try_from(self.peers.len() + 1).unwrap_or(u32::MAX);
-        let told = self
+        let reported = self
             .peers
             .values()
             .flatten()
             .map(|(_, report)| report.members);
-        known.max(told.max().unwrap_or(0))
+        known.max(reported.max().unwrap_or(0))
     }
 
     fn tick(&mut self, now: Time, actions: &mut Vec<Action>) {
@@ -192,30 +195,30 @@
         }
         if self.polling.is_none() && now >= self.poll_at {
             self.polling = Some(now);
-            self.poll_at = now + POLL_AGAIN;
+            self.poll_at = now + RETRY_DELAY;
             actions.push(Action::Poll);
         }
         if self.fetching.is_none() && self.fetch_at.is_some_and(|at| now >= at) {
             self.fetching = Some(now);
-            self.fetch_at = Some(now + POLL_AGAIN);
+            self.fetch_at = Some(now + RETRY_DELAY);
             actions.push(Action::Fetch);
         }
-        if self.confirmed.is_none_or(|at| now.since(at) >= ASK_AFTER) {
-            self.ask(now, actions);
+        if self.confirmed.is_none_or(|at| now.since(at) >= QUERY_AFTER) {
+            self.query_peers(now, actions);
         }
     }
 
-    /// Asks a part of the peers, those that were heard least lately first.
-    fn ask(&mut self, now: Time, actions: &mut Vec<Action>) {
+    /// Queries a part of the peers, least recently queried first.
+    fn query_peers(&mut self, now: Time, actions: &mut Vec<Action>) {
         let asked = |name: &Name| self.asked.get(name).copied();
         let mut due: Vec<(Option<Time>, Name)> = self
             .peers
             .keys()
-            .filter(|name| asked(name).is_none_or(|at| now.since(at) >= ASK_AGAIN))
+            .filter(|name| asked(name).is_none_or(|at| now.since(at) >= QUERY_INTERVAL))
             .map(|name| (asked(name), name.clone()))
             .collect();
         due.sort_unstable();
-        let part = self.peers.len().div_ceil(ASK_PART).max(ASK_LEAST);
+        let part = self.peers.len().div_ceil(QUERY_FRACTION).max(MIN_QUERIES);
         for (_, name) in due.into_iter().take(part) {
             self.asked.insert(name.clone(), now);
             actions.push(Action::Query(name));
@@ -227,12 +230,12 @@
         let Ok(found) = result else { return };
         self.poll_at = asked + POLL_INTERVAL;
         let Some(pointer) = found else { return };
-        self.heard(now, pointer.version);
+        self.note_version(now, pointer.version);
         self.confirm(pointer.version, asked);
     }
 
-    /// Takes a document that the table had as current at `asked` or later.
-    fn take_current(
+    /// Applies a document that the table had as current at `asked` or later.
+    fn apply_current(
         &mut self,
         now: Time,
         asked: Time,
@@ -240,15 +243,16 @@
         actions: &mut Vec<Action>,
     ) {
         let version = document.version;
-        self.adopt(now, document, actions);
+        self.apply(now, document, actions);
         self.confirm(version, asked);
     }
 
-    /// Takes a newer document. An older one is never taken, whoever offers it.
+    /// Applies a newer document. An older one is never applied, whatever its
+    /// source.
     ///
-    /// Evidence about the older one stays: if that was current at some time,
-    /// then the newer one was current at that time or later.
-    fn adopt(&mut self, now: Time, document: Arc<Document>, actions: &mut Vec<Action>) {
+    /// Evidence about the older document remains valid: if it was current at some
+    /// time, the newer one was current at that time or later.
+    fn apply(&mut self, now: Time, document: Arc<Document>, actions: &mut Vec<Action>) {
         if document.version <= self.version() {
             return;
         }
@@ -268,20 +272,20 @@
         }
     }
 
-    fn heard(&mut self, now: Time, version: u64) {
+    fn note_version(&mut self, now: Time, version: u64) {
         if version > self.newest {
             self.newest = version;
         }
         if self.newest > self.version() && self.fetch_at.is_none() {
-            self.fetch_at = Some(now + self.spread);
+            self.fetch_at = Some(now + self.fetch_delay);
         }
     }
 
-    /// Notes that `version` was current at `at`.
+    /// Records that `version` was current at `at`.
     ///
-    /// Evidence from before this process started does not count: the process
-    /// that was here before may have acted by a version that was accepted
-    /// since, and callers would see the node go back.
+    /// Evidence from before the start of this process does not count: an earlier
+    /// process of this node may have applied a version that was accepted since,
+    /// and callers would see the node return to an older one.
     fn confirm(&mut self, version: u64, at: Time) {
         if at < self.started {
             return;
@@ -295,7 +299,7 @@
         }
         self.confirmed = self.confirmed.max(Some(at));
         let settled = |(announced, since): (u64, Time)| {
-            announced <= self.version() || at >= since + ANNOUNCED
+            announced <= self.version() || at >= since + ANNOUNCEMENT_TTL
         };
         if self.announced.is_some_and(settled) {
             self.announced = None;
@@ -310,17 +314,17 @@
         report: Report,
         actions: &mut Vec<Action>,
     ) {
-        self.heard(now, report.newest.max(report.version));
+        self.note_version(now, report.newest.max(report.version));
         if report.version > self.version() {
             actions.push(Action::FetchFrom(peer.clone()));
         }
         if let Some(ago) = report.confirmed_ago {
             self.confirm(report.version, asked - ago);
         }
-        if let Some(heard) = self.peers.get_mut(peer)
-            && heard.is_none_or(|(at, _)| at <= asked)
+        if let Some(latest) = self.peers.get_mut(peer)
+            && latest.is_none_or(|(at, _)| at <= asked)
         {
-            *heard = Some((asked, report));
+            *latest = Some((asked, report));
         }
     }
 
@@ -328,37 +332,38 @@
         let mut old = std::mem::take(&mut self.peers);
         self.asked.retain(|name, _| names.contains(name));
         for name in names {
-            let heard = old.remove(&name).flatten();
-            self.peers.insert(name, heard);
+            let answer = old.remove(&name).flatten();
+            self.peers.insert(name, answer);
         }
     }
 
-    /// Moves the end of the document's time as far as the evidence reaches.
+    /// Extends the validity of the document as far as the evidence permits.
     fn extend(&mut self, now: Time, actions: &mut Vec<Action>) {
         let by_table = self.confirmed;
-        let by_peers = self.outage_since(now);
+        let by_peers = self.unchanged_since(now);
         let Some(known) = by_table.max(by_peers) else {
             return;
         };
         let until = known + EVIDENCE_TTL;
-        // A process that was here before may have acknowledged an announcement
-        // that this one knows nothing of. Once that must have been accepted or
-        // given up, evidence that nothing was accepted makes up for it.
-        self.witness |= known >= self.started + ANNOUNCED;
+        // An earlier process of this node may have acknowledged an announcement
+        // that is unknown to this one. Once that change must have been accepted
+        // or abandoned, evidence that nothing was accepted makes up for it.
+        self.witness |= known >= self.started + ANNOUNCEMENT_TTL;
         if until > self.force.until {
             self.force.until = until;
             self.publish(actions);
         }
     }
 
-    /// The time at which more than half of the fleet had not seen anything
-    /// newer, this node included; none when no such time is known.
+    /// Returns a time at which more than half of the fleet, including this node,
+    /// had not learned of a newer version; `None` if no such time is known.
     ///
     /// Only witnesses count. A change is committed only after at least half of
-    /// the fleet has acknowledged its announcement, and more than half always
-    /// share a node with those; so more than half that know of no announcement
-    /// prove that nothing was accepted before the least recent of them was asked.
-    fn outage_since(&self, now: Time) -> Option<Time> {
+    /// the fleet has acknowledged its announcement, and any majority shares a
+    /// node with that half. A majority that knows of no announcement therefore
+    /// proves that nothing was accepted before the earliest of its answers was
+    /// requested.
+    fn unchanged_since(&self, now: Time) -> Option<Time> {
         let announced = self.announced.map_or(0, |(version, _)| version);
         if self.version() == 0 || self.newest.max(announced) > self.version() {
             return None;
--- a/src/config/follow/message.rs
+++ b/src/config/follow/message.rs
@@ -1,4 +1,4 @@
-//! What goes into and comes out of the decision which version may be acted by.
+//! Inputs and actions of the decision which configuration may be applied.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,100 +11,101 @@
 use crate::name::Name;
 use crate::table::Fault;
 
-/// What a node tells a peer that asks.
+/// Answer of a node to a query of a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// The version of its document; 0 when it has none.
+    /// Version of its document; 0 if it has none.
     pub version: u64,
-    /// The newest version that it has heard of.
+    /// Newest version known to it.
     pub newest: u64,
-    /// The newest version that somebody said he was about to commit.
+    /// Newest version that was announced to it as about to be committed.
     pub announced: u64,
-    /// True when it can vouch that no change was announced to it but the one
-    /// it names: it has run for long enough, so that it has forgotten none.
+    /// True if the node has run for long enough to know of every change that may
+    /// still be committed, so that none but `announced` was announced to it.
     pub witness: bool,
-    /// How long ago the table confirmed its version; none if it did not lately.
+    /// How long ago the table confirmed its version; `None` if not recently.
     pub confirmed_ago: Option<Duration>,
-    /// Nodes that it knows of, itself among them.
+    /// Number of nodes known to it, including itself.
     pub members: u32,
 }
 
-/// What happened.
+/// An input of the follower.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// Time passed; due about once a second and when [`Follower::wake`] says.
+    /// Time has passed; due about once per second and when [`Follower::wake`]
+    /// says.
     Tick,
-    /// The small row was read, or not.
+    /// A read of the pointer row has completed or failed.
     Polled {
-        /// When the read was sent.
+        /// Time at which the read was sent.
         asked: Time,
-        /// What it brought; none when there is no configuration yet.
+        /// Result of the read; `None` if there is no configuration yet.
         result: Result<Option<Pointer>, Fault>,
     },
-    /// The document was read, or not.
+    /// A read of the document has completed or failed.
     Fetched {
-        /// When the read was sent.
+        /// Time at which the read was sent.
         asked: Time,
-        /// What it brought.
+        /// Result of the read.
         result: Result<Option<Arc<Document>>, Fault>,
     },
-    /// A peer gave its document.
+    /// A peer sent its document.
     Offered(Arc<Document>),
-    /// This node has committed a document.
+    /// This node committed a document.
     Committed {
-        /// When the commit was begun.
+        /// Time at which the commit was started.
         asked: Time,
         /// The document.
         document: Arc<Document>,
     },
-    /// A peer is about to commit this version, and waits to hear that this
-    /// node knows; see [`super::commit::Announce`].
+    /// A peer is about to commit this version and waits for the acknowledgement;
+    /// see [`super::commit::Announce`].
     Announced(u64),
-    /// Somebody mentioned a version, as gossip does.
+    /// A version was mentioned, for example by gossip.
     Mentioned(u64),
-    /// A peer answered a question.
+    /// A peer answered a query.
     Answered {
-        /// Which peer.
+        /// Name of the peer.
         peer: Name,
-        /// When it was asked.
+        /// Time at which the query was sent.
         asked: Time,
-        /// Its answer.
+        /// Answer of the peer.
         report: Report,
     },
-    /// The nodes of the fleet without this one. A node is left out only when
-    /// it said that it leaves or when the platform's list no longer has it;
-    /// never because it can't be heard, or else a node that is cut off would
-    /// soon take itself for the whole fleet.
+    /// All other nodes of the fleet. A node is omitted only after it announced
+    /// its departure or when the platform's list no longer contains it, never
+    /// because it is unreachable; otherwise a partitioned node would soon
+    /// consider itself the whole fleet.
     Peers(Vec<Name>),
 }
 
-/// What the shell must do.
+/// An action that the caller must carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Read the small row.
+    /// Read the pointer row.
     Poll,
     /// Read the document.
     Fetch,
-    /// Ask this peer for its [`Report`].
+    /// Query this peer for its [`Report`].
     Query(Name),
-    /// Ask this peer for its document.
+    /// Fetch the document of this peer.
     FetchFrom(Name),
-    /// Publish what may be acted by.
+    /// Publish the document in force.
     Publish(InForce),
 }
 
-/// What may be acted by, and until when.
+/// The document in force and its expiry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InForce {
     /// The document in force.
     pub document: Arc<Document>,
-    /// The end of its time, unless something newer is published before.
+    /// Time at which it expires unless something newer is published before.
     pub until: Time,
 }
 
 impl InForce {
-    /// True while the document may be acted by. Whoever starts work asks this
-    /// with the present time at that moment, so that a node that was paused
+    /// Returns true while the document may be applied. Callers must check this
+    /// with the current time when they start work, so that a node that was paused
     /// stops at once.
     pub fn is_valid(&self, now: Time) -> bool {
         self.document.version > 0 && now < self.until
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -1,4 +1,4 @@
-//! What operators may do to the configuration, as the schema has it.
+//! Operations of operators on the configuration, in the types of the schema.
 
 use super::check::{self, Problem};
 use super::commit::{self, Accepted, Announce, Error, Request};
@@ -7,26 +7,25 @@
 use crate::rpc::v1;
 use crate::table::Table;
 
-/// Times that an edit is made again from a newer document when others change
-/// it meanwhile. Each loss of a race means that somebody else's change was
-/// accepted, so that the fleet makes progress; the bound is for one operator's
-/// patience.
-const MERGES: u32 = 8;
-/// Changes of history that are listed when the operator names no limit.
+/// Attempts to apply an edit to a newer document after concurrent changes. Each
+/// conflict means that another change was accepted, so the fleet makes progress;
+/// the limit bounds how long one operator waits.
+const MAX_MERGE_ATTEMPTS: u32 = 8;
+/// Default number of history entries returned.
 const HISTORY_LIMIT: u32 = 20;
-/// Most changes of history that one answer lists.
+/// Maximum number of history entries returned.
 const MAX_HISTORY: u32 = 1_000;
 
-/// What marks one change.
+/// Identifier and time of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stamp {
-    /// Its identity: random, and used for this change alone.
+    /// Random identifier, used for this change alone.
     pub id: u64,
-    /// Wall-clock time in milliseconds since 1970, for people.
+    /// Wall-clock time in milliseconds since 1970, for display only.
     pub at_ms: u64,
 }
 
-/// A change of one thing, which can be made to any document.
+/// A change of one entry, which can be applied to any document.
 #[derive(Clone, Debug, PartialEq)]
 enum Edit {
     Service(v1::Service),
@@ -34,7 +33,7 @@
     RemoveEndpoint(String),
 }
 
-/// Who makes a change, why, and whether it is only tried.
+/// Author of a change, its reason, and whether it is a dry run.
 #[derive(Clone, Debug)]
 struct Author {
     name: String,
@@ -54,20 +53,20 @@
     T: Table,
     A: Announce,
 {
-    /// Works on `table` and tells other nodes through `announce`.
+    /// Creates an operator on `table` that announces changes through `announce`.
     pub const fn new(table: T, announce: A) -> Self {
         Self { table, announce }
     }
 
-    /// The document in the table; version 0 when there is none yet.
+    /// Returns the document in the table; version 0 if there is none yet.
     ///
     /// # Errors
-    /// [`Error::Refused`] when the table can't be read.
+    /// [`Error::Refused`] if the table cannot be read.
     pub async fn get(&self) -> Result<Document, Error> {
         commit::read(&self.table).await
     }
 
-    /// Replaces the whole document, if its version is still the expected one.
+    /// Replaces the whole document if its version is still the expected one.
     ///
     /// # Errors
     /// [`Error`]; only [`Error::Unknown`] leaves open whether it was accepted.
@@ -122,10 +121,10 @@
         self.merge(stamp, &edit, &author).await
     }
 
-    /// Takes out one endpoint.
+    /// Removes one endpoint.
     ///
     /// # Errors
-    /// As for [`Operator::apply`]; [`Error::Invalid`] when there is none of
+    /// As for [`Operator::apply`]; [`Error::Invalid`] if there is no endpoint of
     /// that name.
     pub async fn remove_endpoint(
         &self,
@@ -141,10 +140,10 @@
         self.merge(stamp, &edit, &author).await
     }
 
-    /// Past changes, the newest first; a limit of 0 means twenty.
+    /// Returns past changes, newest first; a limit of 0 means twenty.
     ///
     /// # Errors
-    /// [`Error::Refused`] when the table can't be read.
+    /// [`Error::Refused`] if the table cannot be read.
     pub async fn history(&self, limit: u32) -> Result<v1::ConfigHistoryResponse, Error> {
         let limit = if limit == 0 { HISTORY_LIMIT } else { limit };
         let limit = limit.min(MAX_HISTORY) as usize;
@@ -158,14 +157,14 @@
         })
     }
 
-    /// Makes `edit` from the newest document, again if others change it
-    /// meanwhile.
+    /// Applies `edit` to the newest document and repeats this after concurrent
+    /// changes.
     async fn merge(&self, stamp: Stamp, edit: &Edit, author: &Author) -> Result<Accepted, Error> {
         let mut last = 0;
-        for _ in 0..MERGES {
+        for _ in 0..MAX_MERGE_ATTEMPTS {
             let document = commit::read(&self.table).await?;
             let mut config = convert::to_schema(&document);
-            make(edit, &mut config).map_err(|problem| Error::Invalid(vec![problem]))?;
+            apply_edit(edit, &mut config).map_err(|problem| Error::Invalid(vec![problem]))?;
             match self.commit(stamp, document.version, &config, author).await {
                 Err(Error::Conflict { current }) => last = current,
                 verdict => return verdict,
@@ -195,13 +194,13 @@
     }
 }
 
-fn make(edit: &Edit, config: &mut v1::Config) -> Result<(), Problem> {
+fn apply_edit(edit: &Edit, config: &mut v1::Config) -> Result<(), Problem> {
     match edit {
         Edit::Service(service) => {
-            replace(&mut config.services, service, |one| &one.name);
+            replace(&mut config.services, service, |other| &other.name);
         }
         Edit::Endpoint(endpoint) => {
-            replace(&mut config.endpoints, endpoint, |one| &one.name);
+            replace(&mut config.endpoints, endpoint, |other| &other.name);
         }
         Edit::RemoveEndpoint(name) => {
             let before = config.endpoints.len();
@@ -222,8 +221,8 @@
     E: Clone,
     N: Fn(&E) -> &str,
 {
-    match entries.iter_mut().find(|one| name(one) == name(entry)) {
-        Some(one) => one.clone_from(entry),
+    match entries.iter_mut().find(|other| name(other) == name(entry)) {
+        Some(other) => other.clone_from(entry),
         None => entries.push(entry.clone()),
     }
 }
--- a/src/config/row.rs
+++ b/src/config/row.rs
@@ -1,70 +1,70 @@
-//! The rows in which the configuration lies.
+//! Table rows of the configuration.
 //!
-//! A change writes three rows together: a small one that every node polls, the
-//! document, which is read only when it has changed, and one of history. With
-//! the document in the polled row, 330 nodes would read it whole every few
-//! seconds; see docs/design/config.md.
+//! A change writes three rows in one transaction: a small pointer that every node
+//! polls, the document, which is read only after a change, and a history row. If
+//! the polled row contained the document, 330 nodes would read all of it every
+//! few seconds; see docs/design/config.md.
 
 use bytes::Bytes;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-/// Key of the row that holds the [`Pointer`].
+/// Key of the row with the [`Pointer`].
 pub const POINTER_KEY: &str = "config/pointer";
-/// Key of the row that holds the document.
+/// Key of the row with the document.
 pub const DOCUMENT_KEY: &str = "config/document";
-/// What the keys of history rows start with.
+/// Prefix of the keys of history rows.
 pub const HISTORY_PREFIX: &str = "config/history/";
-/// Changes that are kept in history; older rows go with the next change.
+/// Maximum number of history rows; older ones are removed with the next change.
 pub const MAX_HISTORY_ROWS: u64 = 10_000;
 
-/// Names the current version.
+/// Identifies the current version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pointer {
-    /// The document's version.
+    /// Version of the document.
     pub version: u64,
-    /// Identity of the change that made it, by which its author recognises it
-    /// when the answer to the commit was lost.
+    /// Identifier of the change that created it, by which its author recognises
+    /// it after a lost answer to the commit.
     pub change: u64,
 }
 
 /// One accepted change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// The version that it made.
+    /// Version that it created.
     pub version: u64,
-    /// Its identity.
+    /// Identifier of the change.
     pub id: u64,
-    /// Who made it.
+    /// Author of the change.
     pub author: String,
-    /// Why.
+    /// Reason for the change.
     pub note: String,
-    /// When, by the wall clock of the node that committed it, in milliseconds
-    /// since 1970. For people only.
+    /// Wall-clock time of the committing node in milliseconds since 1970, for
+    /// display only.
     pub at_ms: u64,
-    /// One line for each thing that changed.
+    /// One line for each difference.
     pub diff: Vec<String>,
 }
 
-/// Key of the history row of `version`. Versions count down in it, so that a
-/// scan, which only goes upwards, meets the newest first.
+/// Returns the key of the history row of `version`. Keys count down, so that a
+/// scan, which only runs upwards, returns the newest first.
 pub fn history_key(version: u64) -> String {
     format!("{HISTORY_PREFIX}{:020}", u64::MAX - version)
 }
 
-/// Writes a row's value.
+/// Encodes the value of a row.
 pub fn encode<V>(value: &V) -> Bytes
 where
     V: Serialize,
 {
     let mut bytes = Vec::with_capacity(256);
-    // Plain data into memory can't fail.
+    // Encoding plain data into memory cannot fail.
     let _ = ciborium::into_writer(value, &mut bytes);
     bytes.into()
 }
 
-/// Reads a row's value; nothing when it can't be read, as when a later release
-/// wrote it.
+/// Decodes the value of a row; `None` if it cannot be decoded, for example
+/// because a later release wrote it.
 pub fn decode<V>(bytes: &[u8]) -> Option<V>
 where
     V: DeserializeOwned,
--- a/src/config/watch.rs
+++ b/src/config/watch.rs
@@ -1,5 +1,5 @@
-//! The shell around [`Follower`]: reads the table, asks peers and publishes
-//! what may be acted by.
+//! Runs a [`Follower`]: reads the table, queries peers and publishes the
+//! configuration in force.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -19,27 +19,27 @@
 use crate::snapshot::Cell;
 use crate::table::{Fault, Table};
 
-/// How often the decision is told that time has passed.
+/// Interval between ticks of the follower.
 const TICK: Duration = Duration::from_millis(500);
-/// Longest wait for acknowledgements of an announcement.
+/// Maximum wait for acknowledgements of an announcement.
 const ANNOUNCE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The other nodes, as far as the configuration needs them. Each method that
-/// asks a peer gives up by itself after a few seconds.
+/// Access to the other nodes. Each method that queries a peer times out by itself
+/// after a few seconds.
 pub trait Peers {
-    /// Every node but this one that has not said that it leaves and is still in
-    /// the platform's list, whether it can be heard or not.
+    /// Returns all other nodes that have not announced their departure and are
+    /// still on the platform's list, whether or not they are reachable.
     fn names(&self) -> Vec<Name>;
-    /// What the peer knows; none when it does not answer.
+    /// Queries a peer; `None` if it does not answer.
     async fn report(&self, peer: &str) -> Option<Report>;
-    /// The peer's document; none when it does not answer or has none.
+    /// Fetches the peer's document; `None` if it does not answer or has none.
     async fn document(&self, peer: &str) -> Option<Arc<Document>>;
-    /// Tells the peer that a version is about to be committed; true when it
-    /// has acknowledged.
+    /// Announces to the peer that a version is about to be committed; returns
+    /// true if it has acknowledged.
     async fn announce(&self, peer: &str, version: u64) -> bool;
 }
 
-/// A node that is alone, as in `try`.
+/// A node without peers, as in `try`.
 impl Peers for () {
     fn names(&self) -> Vec<Name> {
         Vec::new()
@@ -59,7 +59,7 @@
 }
 
 /// Follows the configuration on the control thread. Clones are handles to the
-/// same decision.
+/// same follower.
 #[derive(Debug)]
 pub struct Watch<T, P> {
     inner: Rc<Inner<T, P>>,
@@ -87,7 +87,7 @@
     T: Table + 'static,
     P: Peers + 'static,
 {
-    /// A watch that publishes to `force`; it starts with [`Watch::run`].
+    /// Creates a watch that publishes to `force`; [`Watch::run`] starts it.
     pub fn new(node: &str, table: T, peers: P, clock: Clock, force: Arc<Cell<InForce>>) -> Self {
         let follower = RefCell::new(Follower::new(clock.now(), node));
         Self {
@@ -110,28 +110,29 @@
         }
     }
 
-    /// Notes that somebody mentioned a version.
+    /// Records that a version was mentioned.
     pub fn mention(&self, version: u64) {
         self.step(Input::Mentioned(version));
     }
 
-    /// Notes that a peer is about to commit a version. The peer may be told so
-    /// once this has returned.
+    /// Records that a peer is about to commit a version. The announcement may be
+    /// acknowledged once this has returned.
     pub fn announced(&self, version: u64) {
         self.step(Input::Announced(version));
     }
 
-    /// Notes that this node has committed a document; `asked` is when it began.
+    /// Records that this node committed a document; `asked` is the time at which
+    /// the commit was started.
     pub fn committed(&self, asked: crate::clock::Time, document: Arc<Document>) {
         self.step(Input::Committed { asked, document });
     }
 
-    /// The answer to a peer that asks.
+    /// Returns the answer to a query of a peer.
     pub fn report(&self) -> Report {
         self.inner.follower.borrow().report(self.inner.clock.now())
     }
 
-    /// What is in force, if its time has not run out.
+    /// Returns the document in force and its expiry.
     pub fn force(&self) -> InForce {
         self.inner.follower.borrow().force().clone()
     }
--- a/tests/config_check.rs
+++ b/tests/config_check.rs
@@ -1,4 +1,4 @@
-//! Checks and differences of documents.
+//! Validation and comparison of documents.
 
 use auburnspoke::config::check::{self, MAX_ENDPOINTS, MAX_SERVICES};
 use auburnspoke::config::{Document, convert, diff, row};
@@ -112,8 +112,8 @@
 
 #[gtest]
 fn document_size_of_letter() {
-    // 690 endpoints, 950 organisations and 19 services fit well below the
-    // bound; docs/design/config.md adds up what reading them costs.
+    // 690 endpoints, 950 organisations and 19 services fit well below the limit;
+    // docs/design/config.md sums up the cost of reading them.
     let config = v1::Config {
         services: (0..19).map(|n| service(&format!("service-{n}"))).collect(),
         endpoints: (1..=690)
--- a/tests/config_commit.rs
+++ b/tests/config_commit.rs
@@ -1,4 +1,5 @@
-//! Accepting changes: races, lost answers, outages, and what they cost.
+//! Committing changes: races, lost answers, outages, and the number of
+//! operations.
 
 use auburnspoke::config::commit::{Announce, Error, Reach};
 use auburnspoke::config::operator::{Operator, Stamp};
@@ -10,11 +11,11 @@
 use auburnspoke::table::{Table as _, Transaction};
 use googletest::prelude::*;
 
-/// Every node has acknowledged.
+/// Every node acknowledges.
 #[derive(Clone, Copy)]
-struct Everybody;
+struct AllAcknowledge;
 
-impl Announce for Everybody {
+impl Announce for AllAcknowledge {
     async fn announce(&self, _version: u64) -> Reach {
         Reach {
             acknowledged: 3,
@@ -23,10 +24,10 @@
     }
 }
 
-/// This node hears one of four others.
-struct Few;
+/// Two of five nodes acknowledge, including the announcing one.
+struct TooFewAcknowledge;
 
-impl Announce for Few {
+impl Announce for TooFewAcknowledge {
     async fn announce(&self, _version: u64) -> Reach {
         Reach {
             acknowledged: 2,
@@ -42,8 +43,8 @@
     actix_rt::System::new().block_on(future)
 }
 
-fn operator(platform: &Platform) -> Operator<Platform, Everybody> {
-    Operator::new(platform.clone(), Everybody)
+fn operator(platform: &Platform) -> Operator<Platform, AllAcknowledge> {
+    Operator::new(platform.clone(), AllAcknowledge)
 }
 
 const fn stamp(id: u64) -> Stamp {
@@ -103,8 +104,8 @@
 
 #[gtest]
 fn apply_racing() {
-    // Two operators start from the same version. Without the comparison the
-    // second would silently undo the first one's change.
+    // Two operators edit the same version. Without the comparison, the second
+    // change would silently overwrite the first one.
     run(async {
         let platform = Platform::new(1);
         let operator = operator(&platform);
@@ -116,10 +117,10 @@
     });
 }
 
-/// Announces by letting another operator win between the check and the commit.
-struct Rival(Platform);
+/// Commits another operator's change between the check and the commit.
+struct Concurrent(Platform);
 
-impl Announce for Rival {
+impl Announce for Concurrent {
     async fn announce(&self, _version: u64) -> Reach {
         let rival = operator(&self.0);
         rival.apply_service(stamp(99), edit("rival")).await.unwrap();
@@ -131,12 +132,12 @@
 }
 
 #[gtest]
-fn apply_overtaken() {
-    // Another operator's change is accepted after this one was compared and
-    // before it is written; the answer must name the version that won.
+fn apply_concurrent_commit() {
+    // Another operator's change is committed after this one was compared and
+    // before it is written; the answer must contain the version that won.
     run(async {
         let platform = Platform::new(1);
-        let slow = Operator::new(platform.clone(), Rival(platform.clone()));
+        let slow = Operator::new(platform.clone(), Concurrent(platform.clone()));
         let lost = slow.apply(stamp(1), apply(0, &["a"])).await;
         expect_that!(lost, eq(&Err(Error::Conflict { current: 1 })));
         let document = operator(&platform).get().await.unwrap();
@@ -146,8 +147,8 @@
 
 #[gtest]
 fn apply_answer_lost_after() {
-    // The change is committed and the answer is lost. An operator who is told
-    // that it failed would make it a second time, or undo it.
+    // The change is committed and the answer is lost. An operator who gets a
+    // failure would repeat or revert the change.
     run(async {
         let platform = Platform::new(1);
         platform.command(&lose(false));
@@ -171,9 +172,9 @@
 }
 
 #[gtest]
-fn apply_fate_unknown() {
-    // Every answer is lost. The operator must hear that the change may have
-    // been accepted, never that it was not.
+fn apply_outcome_unknown() {
+    // Every answer is lost. The operator must learn that the change may have been
+    // accepted, never that it was not.
     run(async {
         let platform = Platform::new(1);
         platform.command(&Command::LoseSome {
@@ -210,11 +211,11 @@
 
 #[gtest]
 fn apply_isolated() {
-    // A node on the smaller side of a cut still reaches the table. If it
-    // accepted a change, the larger side would go on without it.
+    // A node on the smaller side of a partition still reaches the table. If it
+    // accepted a change, the larger side would continue without it.
     run(async {
         let platform = Platform::new(1);
-        let operator = Operator::new(platform.clone(), Few);
+        let operator = Operator::new(platform.clone(), TooFewAcknowledge);
         let refused = operator.apply(stamp(1), apply(0, &["a"])).await;
         expect_that!(refused, eq(&Err(Error::Isolated)));
         expect_that!(platform.counts().writes, eq(0));
@@ -223,8 +224,8 @@
 
 #[gtest]
 fn merge_concurrent() {
-    // Five operators each add a service at the same time. All were accepted,
-    // so all must be in the document.
+    // Five operators each add a service at the same time. All changes were
+    // accepted, so all must be in the document.
     run(async {
         let platform = Platform::new(1);
         platform.command(&Command::Slow {
@@ -281,8 +282,8 @@
 
 #[gtest]
 fn apply_operations() {
-    // The bound that docs/design/config.md adds up: a change costs two reads
-    // and three writes, and four once old history is removed.
+    // The bound that docs/design/config.md sums up: a change costs two reads and
+    // three writes, and four once old history is removed.
     run(async {
         let platform = Platform::new(1);
         let operator = operator(&platform);
--- a/tests/config_fleet.rs
+++ b/tests/config_fleet.rs
@@ -1,5 +1,5 @@
-//! The configuration on real nodes that are frozen, replaced, and cut off from
-//! the platform.
+//! The configuration on real nodes that are suspended, replaced, and disconnected
+//! from the platform.
 
 use std::thread::sleep;
 use std::time::{Duration, Instant};
@@ -26,7 +26,7 @@
     fleet.caller(node, "Ask", &ask)
 }
 
-/// Takes the service away, with everything that names it.
+/// Removes the service and everything that refers to it.
 fn remove(fleet: &env::Fleet, node: usize) {
     let config = fleet.operator(node, "GetConfig", &json!({})).unwrap();
     let apply = json!({"expectVersion": config["version"], "config": {}, "author": "test"});
@@ -35,10 +35,10 @@
 
 #[gtest]
 fn node_frozen() {
-    // A node, the one that admits to the service's endpoint, is frozen while an
-    // operator takes the service away. When it goes on
-    // it still has the old configuration, and callers whose questions waited in
-    // its buffers must not be served by it.
+    // The node that admits requests to the service's endpoint is suspended while
+    // an operator removes the service. When it resumes, it still has the old
+    // configuration and must not use it to serve requests that waited in its
+    // buffers.
     let fleet = start(3);
     expect_that!(ask(&fleet, 0), ok(anything()));
     fleet.nodes[0].pause();
@@ -67,13 +67,14 @@
 
 #[gtest]
 fn platform_lost() {
-    // The platform is gone for longer than any evidence lasts. Every node can
-    // see that the others are cut off from it as well, and questions go on
-    // being answered; no change is accepted. A node that is replaced meanwhile
-    // finds its peers by the seeds in its settings, and refuses questions until
-    // they have told it the configuration.
+    // The platform is unavailable for longer than any evidence remains valid.
+    // Every node can verify that the others cannot reach it either, and requests
+    // are still answered; no change is accepted. A node that is replaced
+    // meanwhile finds its peers by the seeds in its settings, and refuses
+    // requests until they have sent it the configuration.
     let mut fleet = start(3);
-    // A node vouches for the configuration half a minute after its start.
+    // A node counts as a witness of the configuration half a minute after its
+    // start.
     sleep(Duration::from_secs(34));
     fleet.platform.pause();
     let lost = Instant::now();
@@ -111,9 +112,9 @@
 
 #[gtest]
 fn all_replaced_without_platform() {
-    // Every node is replaced while the platform is gone. Nobody knows the
-    // configuration, and callers are told to come back instead of being served
-    // by a guess.
+    // Every node is replaced while the platform is unavailable. No node has the
+    // configuration, and callers are asked to retry instead of being served with
+    // a guessed one.
     let mut fleet = start(2);
     fleet.platform.pause();
     for node in 0..2 {
@@ -139,8 +140,8 @@
 
 #[gtest]
 fn operators_race() {
-    // Six operators add services through three nodes at the same time. Each is
-    // told that it was accepted, and so each service must be there.
+    // Six operators add services through three nodes at the same time. Each
+    // change is reported as accepted, so each service must be present.
     let fleet = start(3);
     std::thread::scope(|scope| {
         for operator in 0..6 {
--- a/tests/config_follow.rs
+++ b/tests/config_follow.rs
@@ -1,5 +1,5 @@
-//! Which version a node acts by: a small fleet in virtual time, with pauses,
-//! cuts, restarts and outages while the configuration changes.
+//! Configuration versions applied by a small fleet in virtual time, with pauses,
+//! partitions, restarts and outages while the configuration changes.
 
 use auburnspoke::clock::Time;
 use auburnspoke::config::follow::{Action, Follower, Input};
@@ -13,7 +13,7 @@
 #[path = "config_follow/fleet.rs"]
 mod fleet;
 
-use fleet::{Fleet, Mail, NODES, START, STEP, document};
+use fleet::{Fleet, Message, NODES, START, STEP, document};
 
 proptest! {
     #![proptest_config(ProptestConfig {
@@ -23,19 +23,19 @@
         ..ProptestConfig::default()
     })]
 
-    // Nodes are paused, restarted and cut off and the table comes and goes
-    // while changes are accepted. An operator who was told that a change is
-    // accepted must never see a node act by what it replaced, more than
-    // thirteen seconds later, nor a node go back.
+    // Nodes are paused, restarted and partitioned and the table comes and goes
+    // while changes are accepted. Thirteen seconds after a change was reported as
+    // accepted, no node may still apply the configuration that it replaced, and
+    // no node may return to an older one.
     #[test]
     fn step_disturbed(seed in any::<u64>()) {
         let mut fleet = Fleet::new(seed);
         for _ in 0..60 {
-            fleet.disturb();
+            fleet.inject_faults();
             let seconds = fleet.random.random_range(0..10);
             fleet.run(seconds);
         }
-        // When all is well again, the newest version is in force everywhere.
+        // After the faults end, the newest version is in force on every node.
         fleet.table_up = true;
         fleet.nodes.iter_mut().for_each(|node| {
             node.side = 0;
@@ -44,13 +44,13 @@
         fleet.run(30);
         let newest = fleet.commits.len() as u64;
         proptest::prop_assert_eq!(fleet.versions(), vec![newest; NODES]);
-        proptest::prop_assert!(fleet.worked > 0);
+        proptest::prop_assert!(fleet.accepted > 0);
     }
 }
 
 #[gtest]
 fn step_change_in_force() {
-    // Gossip is silent, and still an accepted change is in force everywhere
+    // Without gossip, an accepted change must still be in force on every node
     // within thirteen seconds.
     let mut fleet = Fleet::new(1);
     fleet.run(20);
@@ -61,8 +61,8 @@
 
 #[gtest]
 fn step_outage() {
-    // The platform is down for an hour. Everybody can see that everybody else
-    // is cut off from it too, and questions go on being answered.
+    // The platform is unavailable for an hour. Every node can verify that no
+    // other node reaches it either, and requests are still answered.
     let mut fleet = Fleet::new(1);
     fleet.run(40);
     fleet.table_up = false;
@@ -74,7 +74,7 @@
 
 #[gtest]
 fn step_cut_off() {
-    // One node alone is cut off. It can't know whether the others accept
+    // One node is partitioned. It cannot determine whether the others accept
     // changes, and refuses work until it can.
     let mut fleet = Fleet::new(1);
     fleet.run(20);
@@ -88,8 +88,8 @@
 
 #[gtest]
 fn step_table_cut_off() {
-    // One node can't reach the table and hears its peers, which can. It goes
-    // on by what they confirm.
+    // One node cannot reach the table but reaches its peers, which can. It
+    // continues with the evidence that they confirm.
     let mut fleet = Fleet::new(1);
     fleet.run(20);
     let mut served = 0;
@@ -97,9 +97,9 @@
         let asked = fleet.now;
         fleet.run(1);
         let failed = Err(Fault::Unknown);
-        // Its own polls fail; only peers can have told it anything.
-        let polled = |mail: &Mail| matches!(mail, Mail::Input(Input::Polled { .. }));
-        fleet.nodes[0].inbox.retain(|_, mail| !polled(mail));
+        // Its own polls fail, so its evidence can only come from peers.
+        let polled = |message: &Message| matches!(message, Message::Input(Input::Polled { .. }));
+        fleet.nodes[0].inbox.retain(|_, message| !polled(message));
         fleet.input(
             0,
             Input::Polled {
@@ -114,8 +114,8 @@
 
 #[gtest]
 fn step_restart_in_outage() {
-    // A node is replaced while the platform is down. It refuses work until its
-    // peers have told it the version, and then takes part.
+    // A node is replaced while the platform is unavailable. It refuses work until
+    // its peers have sent it the version, and then takes part.
     let mut fleet = Fleet::new(1);
     fleet.run(40);
     fleet.table_up = false;
@@ -128,8 +128,8 @@
 
 #[gtest]
 fn step_all_restart_in_outage() {
-    // Every node is replaced while the platform is down. Nobody knows the
-    // configuration, and nobody may guess.
+    // Every node is replaced while the platform is unavailable. No node has the
+    // configuration, and none may guess it.
     let mut fleet = Fleet::new(1);
     fleet.run(40);
     fleet.table_up = false;
@@ -144,7 +144,7 @@
 #[gtest]
 fn step_reads() {
     // A node of an idle fleet reads one small row every six seconds and the
-    // document once; docs/design/config.md adds this up for 330 nodes.
+    // document once; docs/design/config.md sums this up for 330 nodes.
     let mut follower = Follower::new(START, "n1");
     let (mut polls, mut fetches) = (0, 0);
     let mut now = START;
--- a/tests/config_follow/fleet.rs
+++ b/tests/config_follow/fleet.rs
@@ -1,4 +1,4 @@
-//! A small fleet of followers in virtual time, with a table, pauses, cuts,
+//! A small fleet of followers in virtual time, with a table, pauses, partitions,
 //! restarts and changes.
 
 use std::collections::BTreeMap;
@@ -18,8 +18,8 @@
 pub const NODES: usize = 5;
 pub const START: Time = Time::from_millis(3_600_000);
 
-/// Something on its way to a node.
-pub enum Mail {
+/// A message in transit to a node.
+pub enum Message {
     Input(Input),
     Ask { from: usize, asked: Time },
     FetchFrom { from: usize },
@@ -30,8 +30,8 @@
     pub follower: Follower,
     pub paused_until: Time,
     pub side: u32,
-    pub inbox: BTreeMap<(Time, u64), Mail>,
-    pub acted_by: u64,
+    pub inbox: BTreeMap<(Time, u64), Message>,
+    pub applied: u64,
 }
 
 /// A change between its announcement and its commit.
@@ -48,12 +48,12 @@
     pub random: ChaCha8Rng,
     pub nodes: Vec<Node>,
     pub table_up: bool,
-    /// When each version became current; the first is version 1.
+    /// Time at which each version became current; the first is version 1.
     pub commits: Vec<Time>,
     pub change: Option<Change>,
-    pub mails: u64,
-    /// Node steps at which work was accepted.
-    pub worked: u32,
+    pub messages: u64,
+    /// Number of node steps at which work was accepted.
+    pub accepted: u32,
 }
 
 pub fn name(at: usize) -> Name {
@@ -76,8 +76,8 @@
             table_up: true,
             commits: vec![START],
             change: None,
-            mails: 0,
-            worked: 0,
+            messages: 0,
+            accepted: 0,
         };
         for at in 0..NODES {
             let node = fleet.start(at);
@@ -95,7 +95,7 @@
             paused_until: Time::ZERO,
             side: 0,
             inbox: BTreeMap::new(),
-            acted_by: 0,
+            applied: 0,
         }
     }
 
@@ -103,7 +103,7 @@
         let fresh = self.start(at);
         let old = std::mem::replace(&mut self.nodes[at], fresh);
         self.nodes[at].side = old.side;
-        self.nodes[at].acted_by = old.acted_by;
+        self.nodes[at].applied = old.applied;
     }
 
     pub fn table(&self, at: usize) -> std::result::Result<u64, Fault> {
@@ -114,11 +114,11 @@
         }
     }
 
-    pub fn send(&mut self, to: usize, mail: Mail) {
-        self.mails += 1;
+    pub fn send(&mut self, to: usize, message: Message) {
+        self.messages += 1;
         let latency = Duration::from_millis(self.random.random_range(1..2_000));
-        let at = (self.now + latency, self.mails);
-        self.nodes[to].inbox.insert(at, mail);
+        let at = (self.now + latency, self.messages);
+        self.nodes[to].inbox.insert(at, message);
     }
 
     pub fn step(&mut self) {
@@ -127,15 +127,15 @@
             if self.now < self.nodes[at].paused_until {
                 continue;
             }
-            // Work is accepted first: a node that was paused may get to that
-            // before it has read anything or has seen that time passed.
+            // Work is accepted first: a node that was paused may do so before it
+            // has read any message or noticed that time has passed.
             self.work(at);
             while let Some(entry) = self.nodes[at].inbox.first_entry() {
                 if entry.key().0 > self.now {
                     break;
                 }
-                let mail = entry.remove();
-                self.receive(at, mail);
+                let message = entry.remove();
+                self.receive(at, message);
                 self.work(at);
             }
             self.input(at, Input::Tick);
@@ -144,20 +144,21 @@
         self.commit();
     }
 
-    /// Accepts work if the node may, and holds it to the promise.
+    /// Accepts work if the node may, and checks that its version is current
+    /// enough.
     pub fn work(&mut self, at: usize) {
         let (now, node) = (self.now, &mut self.nodes[at]);
         let force = node.follower.force();
         if !force.is_valid(now) {
             return;
         }
-        self.worked += 1;
+        self.accepted += 1;
         let version = force.document.version;
         assert!(
-            version >= node.acted_by,
+            version >= node.applied,
             "n{at} went back to version {version}"
         );
-        node.acted_by = version;
+        node.applied = version;
         if let Some(superseded) = self.commits.get(usize::try_from(version).unwrap()) {
             let late = now.since(*superseded);
             assert!(
@@ -167,10 +168,10 @@
         }
     }
 
-    pub fn receive(&mut self, at: usize, mail: Mail) {
-        match mail {
-            Mail::Input(input) => self.input(at, input),
-            Mail::Ask { from, asked } => {
+    pub fn receive(&mut self, at: usize, message: Message) {
+        match message {
+            Message::Input(input) => self.input(at, input),
+            Message::Ask { from, asked } => {
                 let report = self.nodes[at].follower.report(self.now);
                 let peer = name(at);
                 let answer = Input::Answered {
@@ -178,15 +179,16 @@
                     asked,
                     report,
                 };
-                self.between(at, from, Mail::Input(answer));
+                self.send_to_peer(at, from, Message::Input(answer));
             }
-            Mail::FetchFrom { from } => {
+            Message::FetchFrom { from } => {
                 let document = Arc::clone(&self.nodes[at].follower.force().document);
-                self.between(at, from, Mail::Input(Input::Offered(document)));
+                self.send_to_peer(at, from, Message::Input(Input::Offered(document)));
             }
-            Mail::Announced { version, began } => {
+            Message::Announced { version, began } => {
                 self.input(at, Input::Announced(version));
-                // An earlier announcement's late arrival acknowledges nothing.
+                // A late acknowledgement of an earlier announcement does not
+                // count.
                 if let Some(change) = self.change.as_mut().filter(|change| change.began == began) {
                     change.acknowledged.push(at);
                 }
@@ -194,10 +196,10 @@
         }
     }
 
-    /// Sends between nodes, which a cut prevents.
-    pub fn between(&mut self, from: usize, to: usize, mail: Mail) {
+    /// Sends between nodes unless they are partitioned.
+    pub fn send_to_peer(&mut self, from: usize, to: usize, message: Message) {
         if self.nodes[from].side == self.nodes[to].side && self.random.random_bool(0.95) {
-            self.send(to, mail);
+            self.send(to, message);
         }
     }
 
@@ -212,23 +214,23 @@
                     let result = self
                         .table(at)
                         .map(|version| Some(Pointer { version, change: 0 }));
-                    self.send(at, Mail::Input(Input::Polled { asked, result }));
+                    self.send(at, Message::Input(Input::Polled { asked, result }));
                 }
                 Action::Fetch => {
                     let result = self.table(at).map(|version| Some(document(version)));
-                    self.send(at, Mail::Input(Input::Fetched { asked, result }));
+                    self.send(at, Message::Input(Input::Fetched { asked, result }));
                 }
                 Action::Query(peer) => {
-                    self.between(at, index(&peer), Mail::Ask { from: at, asked });
+                    self.send_to_peer(at, index(&peer), Message::Ask { from: at, asked });
                 }
                 Action::FetchFrom(peer) => {
-                    self.between(at, index(&peer), Mail::FetchFrom { from: at });
+                    self.send_to_peer(at, index(&peer), Message::FetchFrom { from: at });
                 }
             }
         }
     }
 
-    /// Announces a change of the node's, as `commit::apply` does.
+    /// Announces a change of this node, as `commit::apply` does.
     pub fn begin(&mut self, node: usize) {
         let Ok(current) = self.table(node) else {
             return;
@@ -248,11 +250,12 @@
         self.input(node, Input::Announced(version));
         let began = self.now;
         for peer in (0..NODES).filter(|peer| *peer != node) {
-            self.between(node, peer, Mail::Announced { version, began });
+            self.send_to_peer(node, peer, Message::Announced { version, began });
         }
     }
 
-    /// Commits the change once its time has come, if half of the fleet knew.
+    /// Commits the change when it is due, if half of the fleet has acknowledged
+    /// it.
     pub fn commit(&mut self) {
         let due = |change: &mut Change| self.now >= change.commit_at;
         let Some(change) = self.change.take_if(due) else {
@@ -268,12 +271,12 @@
             let asked = change.began;
             self.send(
                 change.node,
-                Mail::Input(Input::Committed { asked, document }),
+                Message::Input(Input::Committed { asked, document }),
             );
         }
     }
 
-    pub fn disturb(&mut self) {
+    pub fn inject_faults(&mut self) {
         let node = self.random.random_range(0..NODES);
         match self.random.random_range(0..7) {
             0 => {
