--- a/src/config/commit.rs
+++ b/src/config/commit.rs
@@ -83,14 +83,15 @@
             Self::Refused { retry_after } => {
                 Outcome::NotRun(Refusal::new(Reason::Platform).after(retry_after))
             }
-            Self::Isolated => Outcome::NotRun(
-                Refusal::new(Reason::NotReady)
-                    .because("this node reaches fewer than half of the others; use another one"),
-            ),
+            Self::Isolated => {
+                Outcome::NotRun(Refusal::new(Reason::NotReady).with_message(
+                    "this node reaches fewer than half of the others; use another one",
+                ))
+            }
             Self::Unknown => Outcome::MayHaveRun(
                 Refusal::new(Reason::Platform)
                     .after(RETRY_AFTER)
-                    .because("the change may have been accepted; check the history"),
+                    .with_message("the change may have been accepted; check the history"),
             ),
         }
     }
