--- a/src/node.rs
+++ b/src/node.rs
@@ -1,8 +1,7 @@
-//! One node: puts the services together, runs them and stops them in good
-//! order.
+//! A node: starts its services, runs them and shuts them down in order.
 //!
-//! The thread that calls [`start`] becomes the control thread; each traffic
-//! thread has a runtime of its own and shares nothing mutable with the others.
+//! The thread that calls [`start`] becomes the control thread; each traffic thread has its own
+//! runtime and shares no mutable state with the others.
 
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::pin::pin;
@@ -45,13 +44,13 @@
 use control::Control;
 use work::Work;
 
-/// Most time to wait for one answer of the platform.
+/// Timeout of a call to the platform.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(3);
-/// Messages that may wait between the control thread and the others.
-const WAITING: usize = 1_024;
-/// How long the last answers may take out of the process.
-const FLUSH: Duration = Duration::from_millis(200);
-/// How often a stop looks whether work has ended.
+/// Capacity of the channels between the control thread and the other threads.
+const CHANNEL_CAPACITY: usize = 1_024;
+/// Time for the last answers to leave the sockets' buffers before the process exits.
+const FLUSH_TIME: Duration = Duration::from_millis(200);
+/// Interval at which a shutdown checks whether work has ended.
 const STOP_POLL: Duration = Duration::from_millis(20);
 
 /// Names under which services register with the kernel.
@@ -64,43 +63,44 @@
     pub const DISPATCH: &str = "dispatch";
     /// [`crate::metric::Metrics`].
     pub const METRICS: &str = "metrics";
-    /// [`super::work::Work`] of callers' questions.
+    /// [`super::work::Work`] that counts callers' questions.
     pub const QUESTIONS: &str = "questions";
-    /// [`super::work::Work`] that dispatchers hold.
+    /// [`super::work::Work`] that counts requests held by dispatchers.
     pub const DISPATCHED: &str = "dispatched";
-    /// Requests that crash endpoints.
+    /// Quarantine of requests that crash endpoints.
     pub const QUARANTINE: &str = "quarantine";
     /// [`crate::snapshot::Cell`] of [`crate::leave::Phase`].
     pub const PHASE: &str = "phase";
 }
 
-/// A node that runs.
+/// A running node.
 pub struct Running {
-    /// Where callers reach it, with the port that was bound.
+    /// The address for callers, with the port that was bound.
     pub callers: SocketAddr,
-    /// Where it takes requests from other nodes.
+    /// The address for requests from other nodes.
     pub link: SocketAddr,
-    /// Where it takes control messages from other nodes.
+    /// The address for control messages from other nodes.
     pub control: SocketAddr,
     /// The services by name.
     pub kernel: Kernel,
     shared: Shared,
     services: Rc<Control>,
-    /// Ends the batch thread's claims, then the callers' connections.
-    stop: Stop,
+    /// Signals of the shutdown phases.
+    stop: Shutdown,
     arbiters: Vec<Arbiter>,
     drained: watch::Receiver<bool>,
 }
 
-/// What a stop turns true, one after the other.
-struct Stop {
+/// Channels that shut down the batch thread, the callers' connections and the remaining
+/// requests, in this order.
+struct Shutdown {
     batch: watch::Sender<bool>,
     batch_ended: mpsc::Receiver<()>,
     callers: watch::Sender<bool>,
     cut: watch::Sender<bool>,
 }
 
-/// The listening sockets, all bound before anything is told to anyone.
+/// All listening sockets, bound before the node's addresses are announced.
 struct Sockets {
     callers: TcpListener,
     link: TcpListener,
@@ -109,18 +109,18 @@
 
 impl Sockets {
     fn bind(settings: &Settings) -> Result<Self> {
-        let why = |what: &str, address| {
+        let message = |what: &str, address| {
             format!("can't listen on {address} for {what}; is the port taken by another node?")
         };
         let listen = &settings.listen;
         let callers = http::listen(listen.callers);
         let link = http::listen(listen.link);
-        // Control messages are datagrams; docs/design/members.md says why.
+        // Control messages are datagrams; docs/design/members.md gives the reasons.
         let control = UdpSocket::bind(listen.control);
         let sockets = Self {
-            callers: callers.wrap_err_with(|| why("callers", listen.callers))?,
-            link: link.wrap_err_with(|| why("links", listen.link))?,
-            control: control.wrap_err_with(|| why("control", listen.control))?,
+            callers: callers.wrap_err_with(|| message("callers", listen.callers))?,
+            link: link.wrap_err_with(|| message("links", listen.link))?,
+            control: control.wrap_err_with(|| message("control", listen.control))?,
         };
         sockets.control.set_nonblocking(true)?;
         Ok(sockets)
@@ -141,15 +141,18 @@
     }
 }
 
-/// Runs a node until it is told to stop, and prints where it listens.
+/// Runs a node until SIGTERM, SIGINT or a drain, and prints its addresses.
 ///
 /// # Errors
-/// When it can't listen, or a thread can't be started.
+/// Returns an error if a socket can't be bound or a thread can't be started.
 pub fn run(settings: &Settings) -> Result<()> {
     actix_rt::System::new().block_on(async {
-        // Before anything is started: a stop during the start must be graceful.
-        let mut terminate = signal(SignalKind::terminate()).wrap_err("can't wait for SIGTERM")?;
-        let mut interrupt = signal(SignalKind::interrupt()).wrap_err("can't wait for SIGINT")?;
+        // Installed before anything is started, so that a signal during start-up shuts down
+        // gracefully.
+        let mut terminate =
+            signal(SignalKind::terminate()).wrap_err("can't install a handler for SIGTERM")?;
+        let mut interrupt =
+            signal(SignalKind::interrupt()).wrap_err("can't install a handler for SIGINT")?;
         let mut running = start(settings)?;
         println!(
             "listening callers={} link={} control={}",
@@ -161,7 +164,7 @@
             () = running.drained() => {}
         }
         let hurry = async move {
-            // A person at a terminal who presses Ctrl-C again will not wait.
+            // A second Ctrl-C skips the wait for requests in flight.
             interrupt.recv().await;
         };
         running.stop(settings.leave.limit, hurry).await;
@@ -172,7 +175,7 @@
 /// Starts a node on this thread, which becomes its control thread.
 ///
 /// # Errors
-/// When it can't listen, or a thread can't be started.
+/// Returns an error if a socket can't be bound or a thread can't be started.
 pub fn start(settings: &Settings) -> Result<Running> {
     let clock = Clock::start();
     let sockets = Sockets::bind(settings)?;
@@ -189,14 +192,14 @@
     let shared = shared(settings, &own, clock, &kernel)?;
     let (callers_stop, callers_stopped) = watch::channel(false);
     let (drain, drained) = watch::channel(false);
-    let (queries_in, queries) = mpsc::channel(WAITING);
-    let (demands_in, demands) = mpsc::channel(WAITING);
+    let (queries_in, queries) = mpsc::channel(CHANNEL_CAPACITY);
+    let (demands_in, demands) = mpsc::channel(CHANNEL_CAPACITY);
     let (remote, inbox) = remote::channel();
     let (cut_off, cut) = watch::channel(false);
     let mut arbiters = Vec::new();
     let mut grants_in = Vec::new();
     for (number, desk) in desks.into_iter().enumerate() {
-        let (grant, grants) = mpsc::channel(WAITING);
+        let (grant, grants) = mpsc::channel(CHANNEL_CAPACITY);
         grants_in.push(grant);
         let thread = traffic::Thread {
             number,
@@ -259,7 +262,7 @@
         kernel,
         shared,
         services,
-        stop: Stop {
+        stop: Shutdown {
             batch: batch.stop,
             batch_ended: batch.ended,
             callers: callers_stop,
@@ -270,7 +273,7 @@
     })
 }
 
-/// Makes the services that threads share and registers each by its name.
+/// Creates the services that threads share and registers each under its name.
 fn services(
     own: &Member,
     dispatch: Handle,
@@ -296,7 +299,7 @@
     kernel
 }
 
-/// Finds by name what every thread of a node works with, once, at start.
+/// Resolves the services that every thread of a node uses, once, at start-up.
 fn shared(
     settings: &Settings,
     own: &Member,
@@ -320,7 +323,7 @@
     })
 }
 
-/// The batch thread as the rest of the node knows it.
+/// Handles to the batch thread.
 struct Batch {
     arbiter: Arbiter,
     handle: runner::Handle,
@@ -367,15 +370,15 @@
 impl Running {
     /// Returns when an operator has drained this node.
     pub async fn drained(&mut self) {
-        // An error means that the control thread is gone, which can't be: it is
-        // this one.
+        // An error would mean that the control thread has ended, but this is the control
+        // thread.
         let _ = self.drained.wait_for(|drained| *drained).await;
     }
 
-    /// Stops the node in good order; [`Leave`] decides what happens when.
+    /// Shuts down the node in order; [`Leave`] decides on the phases.
     ///
-    /// What is in flight after `limit`, or once `hurry` is ready, is cut off
-    /// with a final answer.
+    /// Requests still in flight after `limit`, or once `hurry` is ready, are aborted with a
+    /// final answer.
     pub async fn stop<H>(mut self, limit: Duration, hurry: H)
     where
         H: Future<Output = ()>,
@@ -407,8 +410,8 @@
         }
     }
 
-    /// A node without peers has nobody to tell and no other address to send
-    /// callers to.
+    /// Returns the durations of the shutdown phases. A node without peers has nobody to notify
+    /// and no other address for its callers, so it skips those waits.
     fn times(&self, limit: Duration) -> Times {
         let times = Times {
             limit,
@@ -425,26 +428,26 @@
     }
 
     fn work(&mut self) -> leave::Work {
-        // The batch thread gives back its chunks before it ends.
+        // The batch thread releases its chunks before it ends.
         let ended = self.stop.batch_ended.try_recv();
-        let held = ended == Err(mpsc::error::TryRecvError::Empty);
+        let is_running = ended == Err(mpsc::error::TryRecvError::Empty);
         leave::Work {
             requests: self.shared.questions.count(),
             dispatched: self.shared.dispatched.count(),
-            chunks: usize::from(held),
+            chunks: usize::from(is_running),
             items: 0,
         }
     }
 
-    /// Does what leaving demands; an ending when the node is to exit.
+    /// Performs a shutdown action; returns the ending once the node is to exit.
     fn act(&self, action: Action) -> Option<Summary> {
         match action {
             Action::Announce => self.services.members.leave(),
             Action::StopClaiming => {
                 let _ = self.stop.batch.send(true);
             }
-            // The dispatchers see the phase, and the batch thread gives back
-            // its chunks by itself once it is stopped.
+            // The dispatchers observe the phase, and the batch thread releases its chunks by
+            // itself once it is stopped.
             Action::HandOver | Action::ReleaseChunks => {}
             Action::RejectRequests => {
                 let _ = self.stop.callers.send(true);
@@ -459,8 +462,8 @@
 
     async fn exit(self, ending: Summary) {
         self.services.members.exit().await;
-        // The last answers may still lie in the sockets' buffers.
-        actix_rt::time::sleep(FLUSH).await;
+        // The last answers may still be in the sockets' buffers.
+        actix_rt::time::sleep(FLUSH_TIME).await;
         for arbiter in self.arbiters {
             arbiter.stop();
         }
--- a/src/node/assign.rs
+++ b/src/node/assign.rs
@@ -1,5 +1,5 @@
-//! Which endpoints this node dispatches for, worked out on the control thread
-//! when members or configuration change.
+//! The endpoints that this node dispatches for, computed on the control thread when members or
+//! configuration change.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,41 +12,41 @@
 use crate::route;
 use crate::snapshot::Cell;
 
-/// How often a change is looked for. Work goes to the dispatcher that gateways
-/// choose at once; only the claiming of batch work waits for this.
-const LOOK_EVERY: Duration = Duration::from_millis(250);
+/// Interval between checks for changes. Gateways choose the dispatcher independently, without
+/// waiting for this; only claims of batch work are delayed by it.
+const UPDATE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// An endpoint that this node dispatches for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Own {
+pub struct Assigned {
     /// Its name.
     pub endpoint: Name,
-    /// Sequences it can run at the same time.
+    /// Number of sequences that it runs concurrently.
     pub slots: u32,
 }
 
 /// The endpoints of each model service that this node dispatches for.
-pub type Assignment = BTreeMap<Name, Vec<Own>>;
+pub type Assignment = BTreeMap<Name, Vec<Assigned>>;
 
-/// Keeps `assignment` in step with the members and the configuration.
+/// Updates `assignment` when the members or the configuration change.
 pub async fn follow(shared: Shared, assignment: Arc<Cell<Assignment>>) {
-    let mut known = None;
+    let mut previous = None;
     loop {
         let view = shared.view.load();
-        // Without a configuration that may be acted by nothing new is claimed.
+        // Without a configuration in force, no new work is claimed.
         let config = shared.config().unwrap_or_default();
         let usable: Vec<Name> = view.usable().map(|member| member.name.clone()).collect();
-        let now = Some((config.version, usable));
-        if known != now {
+        let current = Some((config.version, usable));
+        if previous != current {
             assignment.publish(assign(&shared.node, &config, &view));
-            known = now;
+            previous = current;
         }
-        actix_rt::time::sleep(LOOK_EVERY).await;
+        actix_rt::time::sleep(UPDATE_INTERVAL).await;
     }
 }
 
 fn assign(node: &Name, config: &Document, view: &View) -> Assignment {
-    let mut own = Assignment::new();
+    let mut assigned = Assignment::new();
     for endpoint in config.endpoints.values().filter(|e| !e.leaving) {
         let dispatcher = route::dispatcher(view, &endpoint.name, &endpoint.zone);
         if dispatcher.is_none_or(|member| member.name != *node) {
@@ -55,12 +55,12 @@
         for name in &endpoint.services {
             let service = config.services.get(name);
             if service.is_some_and(|service| service.kind == Kind::Model) {
-                own.entry(name.clone()).or_default().push(Own {
+                assigned.entry(name.clone()).or_default().push(Assigned {
                     endpoint: endpoint.name.clone(),
                     slots: endpoint.slots,
                 });
             }
         }
     }
-    own
+    assigned
 }
--- a/src/node/batch.rs
+++ b/src/node/batch.rs
@@ -1,5 +1,5 @@
-//! The batch thread: runs this node's share of all jobs on the endpoints that
-//! it dispatches for.
+//! The batch thread: runs this node's share of all jobs on the endpoints that it dispatches
+//! for.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -13,7 +13,7 @@
 use tokio::sync::watch;
 
 use super::PLATFORM_TIMEOUT;
-use super::assign::{Assignment, Own};
+use super::assign::{Assigned, Assignment};
 use crate::dispatch::handle::Event;
 use crate::event;
 use crate::gateway::{Shared, complete};
@@ -25,10 +25,10 @@
 use crate::snapshot::Cell;
 use crate::table::http::Client;
 
-/// How often the counters follow the runner.
-const COUNT_EVERY: Duration = Duration::from_secs(1);
+/// Interval at which the counters are updated from the runner.
+const COUNT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Makes the runner of this node; it must be made on the thread that runs it.
+/// Creates the runner of this node. It must be created on the thread that runs it.
 pub fn runner(
     shared: Shared,
     assignment: Arc<Cell<Assignment>>,
@@ -50,16 +50,16 @@
     )
 }
 
-/// Runs the runner until `stopped` turns true.
+/// Runs the runner until `stopped` becomes true.
 pub async fn run(runner: Runner<Client, Client, Executor>, mut stopped: watch::Receiver<bool>) {
     let stop = async move {
-        // An error means that the node is gone, which is a stop as well.
+        // An error means that the node has ended, which also stops the runner.
         let _ = stopped.wait_for(|stop| *stop).await;
     };
     runner.run(stop).await;
 }
 
-/// What the batch thread counts.
+/// The metrics of the batch thread.
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
     sent: Counter,
@@ -73,8 +73,7 @@
 }
 
 impl Counts {
-    /// Makes every counter known under `batch_...`; docs/BATCH.md says what
-    /// each means.
+    /// Registers every counter under `batch_...`; docs/BATCH.md describes them.
     pub fn register(&self, registry: &mut Registry) {
         let all = [
             ("sent", "Items sent to dispatchers", &self.sent),
@@ -95,7 +94,7 @@
         }
     }
 
-    /// Adds what the runner has done since `before`.
+    /// Adds the runner's progress since `before`.
     fn add(&self, before: Stats, now: Stats) {
         let all = [
             (&self.sent, before.sent, now.sent),
@@ -112,28 +111,28 @@
         }
     }
 
-    /// Follows a runner's tally, which lives on its thread, for as long as that
-    /// thread runs.
+    /// Copies the tally of a runner, which is not shared between threads, into the counters for
+    /// the lifetime of its thread.
     pub async fn follow(self, tally: Rc<std::cell::Cell<Stats>>) {
         let mut before = Stats::default();
         loop {
             let now = tally.get();
             self.add(before, now);
             before = now;
-            actix_rt::time::sleep(COUNT_EVERY).await;
+            actix_rt::time::sleep(COUNT_INTERVAL).await;
         }
     }
 }
 
-/// Hands batch items to the dispatchers of this node.
+/// Submits batch items to the dispatchers of this node.
 pub struct Executor {
     shared: Shared,
     assignment: Arc<Cell<Assignment>>,
-    /// Items of ours at each endpoint: the published loads are a little old.
+    /// Number of this executor's items per endpoint. The published loads lag slightly behind.
     running: RefCell<HashMap<Name, u32>>,
 }
 
-/// Counts an item at its endpoint for as long as its future lives.
+/// Counts an item at its endpoint until dropped.
 struct Running<'a> {
     executor: &'a Executor,
     endpoint: Name,
@@ -148,24 +147,26 @@
 }
 
 impl Executor {
-    fn room_at(&self, own: &Own) -> usize {
-        let room = match self.shared.dispatch.loads.load(&own.endpoint) {
+    fn room_at(&self, assigned: &Assigned) -> usize {
+        let room = match self.shared.dispatch.board.load(&assigned.endpoint) {
             Some(load) => load.room,
-            None => own.slots,
+            None => assigned.slots,
         };
         room as usize
     }
 
-    /// The endpoint with the most room, those with fewer of our items first.
+    /// Returns the endpoint with the most room; of equals, the one with the fewest items of
+    /// this executor.
     fn choose(&self, service: &str) -> Option<Name> {
         let assignment = self.assignment.read();
         let running = self.running.borrow();
-        let own = assignment.get(service)?.iter();
-        own.max_by_key(|own| {
-            let ours = running.get(&own.endpoint).copied().unwrap_or(0) as usize;
-            (self.room_at(own), std::cmp::Reverse(ours))
-        })
-        .map(|own| own.endpoint.clone())
+        let assigned = assignment.get(service)?.iter();
+        assigned
+            .max_by_key(|assigned| {
+                let items = running.get(&assigned.endpoint).copied().unwrap_or(0) as usize;
+                (self.room_at(assigned), std::cmp::Reverse(items))
+            })
+            .map(|assigned| assigned.endpoint.clone())
     }
 
     fn enter(&self, endpoint: &Name) -> Running<'_> {
@@ -184,8 +185,8 @@
 impl Execute for Executor {
     fn capacity(&self, service: &Name) -> usize {
         let assignment = self.assignment.read();
-        let own = assignment.get(service).into_iter().flatten();
-        own.map(|own| self.room_at(own)).sum()
+        let assigned = assignment.get(service).into_iter().flatten();
+        assigned.map(|assigned| self.room_at(assigned)).sum()
     }
 
     fn services(&self) -> Vec<Name> {
@@ -193,9 +194,9 @@
     }
 
     async fn execute(&self, mut request: Request) -> Outcome<Answer> {
-        // An item without a bound of its own has the service's, as a question
-        // does; the endpoint would refuse it and every item of its job. What
-        // else is wrong with it the endpoint says.
+        // An item without a token limit gets that of its service, as a question does; otherwise
+        // the endpoint would reject it, and every item of its job. Any other error in the item
+        // is reported by the endpoint.
         if let Ok(config) = self.shared.config()
             && let Err(refusal) = complete(&config, &mut request)
         {
--- a/src/node/control.rs
+++ b/src/node/control.rs
@@ -1,5 +1,5 @@
-//! The control thread: what the node learns from the platform and its peers,
-//! published for the traffic threads, and what operators ask.
+//! The control thread: follows the platform and the peers, publishes their state to the traffic
+//! threads, and serves operators.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use futures_util::stream::FuturesUnordered;
 use tokio::sync::{mpsc, watch};
 
-use super::peers::{Net, Remembered};
+use super::peers::{CachedRoster, Net};
 use super::shares::{self, Shares};
 use crate::clock::{Time, unix_millis};
 use crate::config::operator::{Operator, Stamp};
@@ -30,42 +30,42 @@
 use crate::wire::control::Note;
 use crate::wire::query::{Query, Reply};
 
-/// How often something that must be told to the platform is tried again.
-const TRY_AGAIN: Duration = Duration::from_millis(500);
-/// How often members are told which version is in force here.
-const TELL_EVERY: Duration = Duration::from_millis(250);
-/// Topic of the note that a job was cancelled.
+/// Delay before a failed registration with the platform is retried.
+const REGISTER_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Interval at which a change of the version in force is announced to the members.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(250);
+/// Topic of notes about cancelled jobs.
 const CANCELLED: u8 = 3;
 
-/// What the control thread starts with.
+/// Start parameters of the control thread.
 pub struct Start {
-    /// What the node shares.
+    /// State that the threads of the node share.
     pub shared: Shared,
     /// Identity, seeds and counters of membership.
     pub setup: Setup,
-    /// The socket of the control address.
+    /// The bound socket of the control address.
     pub socket: tokio::net::UdpSocket,
-    /// Tells this process from others of the same name.
+    /// Distinguishes this process from others of the same name.
     pub boot: u64,
-    /// The platform.
+    /// Client of the platform.
     pub client: Client,
-    /// Questions of other nodes' control threads.
+    /// Queries from other nodes' control threads.
     pub queries: mpsc::Receiver<PendingQuery>,
-    /// What gateways ask for organisations.
+    /// The organisations' demand, as reported by the gateways.
     pub demands: mpsc::Receiver<DemandReport>,
-    /// Where grants go, one for each traffic thread.
+    /// Channels for grants, one per traffic thread.
     pub grants: Vec<mpsc::Sender<(Name, Grant)>>,
-    /// The batch thread.
+    /// Handle of the batch thread.
     pub runner: runner::Handle,
-    /// Turns true when an operator drains this node.
+    /// Becomes true when an operator drains this node.
     pub drain: watch::Sender<bool>,
-    /// What this node saw of endpoints that ended.
-    pub observed: mpsc::Receiver<quarantine::Report>,
+    /// Endpoint crashes observed by this node.
+    pub observed: mpsc::Receiver<quarantine::Told>,
 }
 
-/// The control thread's services.
+/// The services of the control thread.
 pub struct Control {
-    /// What operators do to the configuration.
+    /// Operators' access to the configuration.
     pub operator: Operator<Client, Watch<Client, Net>>,
     /// The members.
     pub members: Handle,
@@ -74,7 +74,7 @@
     net: Net,
     runner: runner::Handle,
     drain: watch::Sender<bool>,
-    /// What other nodes saw of endpoints that ended.
+    /// Endpoint crashes observed by other nodes.
     crashes: mpsc::Sender<Note>,
 }
 
@@ -82,7 +82,7 @@
 pub fn start(start: Start) -> Rc<Control> {
     let shared = start.shared;
     actix_rt::spawn(register(start.client.clone(), start.setup.me.vm()));
-    let roster = Remembered::new(start.client.clone());
+    let roster = CachedRoster::new(start.client.clone());
     let (members, events) = shell::start(start.setup, start.socket, roster.clone());
     let (crashes, notes) = mpsc::channel(quarantine::WAITING);
     actix_rt::spawn(quarantine::decide(
@@ -124,12 +124,12 @@
     actix_rt::spawn(shares::serve(Rc::clone(&limits), start.demands));
     actix_rt::spawn(Rc::clone(&control).listen(events, limits));
     actix_rt::spawn(Rc::clone(&control).answer(start.queries));
-    actix_rt::spawn(Rc::clone(&control).tell_version());
+    actix_rt::spawn(Rc::clone(&control).announce_version());
     control
 }
 
-/// Takes part in placing the models of this node's region: whoever holds the
-/// region's lease does it.
+/// Joins the placement of models in this node's region, which the holder of the region's lease
+/// performs.
 fn start_placement(shared: &Shared, boot: u64, client: &Client) {
     let site = Context {
         node: shared.node.clone(),
@@ -142,20 +142,20 @@
     placement::run::start(site, client.clone());
 }
 
-/// Tells the stand-in platform that this VM runs; a real platform knows.
+/// Registers this VM with the stand-in platform; a real platform needs no registration.
 async fn register(client: Client, vm: Vm) {
     while client.register(vm.clone()).await.is_err() {
-        actix_rt::time::sleep(TRY_AGAIN).await;
+        actix_rt::time::sleep(REGISTER_RETRY_DELAY).await;
     }
 }
 
 impl Control {
-    /// Takes what the members tell.
+    /// Handles events from the membership protocol.
     async fn listen(self: Rc<Self>, mut events: mpsc::Receiver<Event>, shares: Rc<Shares>) {
         while let Some(event) = events.recv().await {
             match event {
                 Event::Committed(version) => self.watch.mention(version),
-                Event::Note(note) => self.take_note(&note),
+                Event::Note(note) => self.handle_note(&note),
                 Event::Direct { from, topic, value } => shares.receive(&from, topic, &value),
                 Event::Replaced => {
                     let _ = self.drain.send(true);
@@ -164,24 +164,24 @@
         }
     }
 
-    fn take_note(&self, note: &Note) {
+    fn handle_note(&self, note: &Note) {
         if note.topic == CANCELLED
             && let Some(id) = crate::job::Id::parse(&note.key)
         {
             self.runner.send(runner::Input::Cancelled(id));
             return;
         }
-        // A full channel is as good as a lost datagram.
+        // A note dropped because the channel is full is equivalent to a lost datagram.
         let _ = self.crashes.try_send(note.clone());
     }
 
-    /// A job of this service was accepted here.
+    /// Notifies the runner that a job of this service was accepted on this node.
     pub fn accepted(&self, service: Name) {
         self.runner.send(runner::Input::Accepted(service));
     }
 
-    /// Tells every runner that a job was cancelled, so that they stop before
-    /// they look at its row.
+    /// Broadcasts the cancellation of a job, so that runners stop before they next read its
+    /// row.
     pub fn broadcast_cancel(&self, id: &crate::job::Id) {
         self.runner.send(runner::Input::Cancelled(id.clone()));
         self.members.note(Note {
@@ -192,7 +192,7 @@
         });
     }
 
-    /// Answers other nodes' control threads.
+    /// Answers queries from other nodes' control threads.
     async fn answer(self: Rc<Self>, mut queries: mpsc::Receiver<PendingQuery>) {
         while let Some(asked) = queries.recv().await {
             let reply = match asked.query {
@@ -208,51 +208,51 @@
                 Query::Loads => {
                     Reply::Loads(self.shared.dispatch.loads.all().into_iter().collect())
                 }
-                // Only nodes whose platform keeps the configuration ask this.
+                // Sent only by nodes whose platform stores the configuration.
                 Query::Known { .. } => Reply::Known(None),
                 Query::Changes { .. } => Reply::Busy,
                 Query::Drain => Reply::Draining {
-                    in_flight: self.drain_here(),
+                    in_flight: self.drain_self(),
                 },
             };
-            // The asker may have given up.
+            // An error means that the querying node no longer waits.
             let _ = asked.reply.send(reply);
         }
     }
 
-    /// Tells the members which version is in force here, and the runner the
-    /// weights that come with it.
-    async fn tell_version(self: Rc<Self>) {
-        let mut told = 0;
+    /// Announces the version in force to the members, and passes the organisations' weights to
+    /// the runner.
+    async fn announce_version(self: Rc<Self>) {
+        let mut announced = 0;
         loop {
             let force = self.shared.force.load();
             let version = force.document.version;
-            if version > told {
-                told = version;
+            if version > announced {
+                announced = version;
                 self.members.committed(version);
                 self.members.in_force(version);
                 let organisations = force.document.organisations.values();
                 let weights = organisations.map(|o| (o.name.clone(), o.weight)).collect();
                 self.runner.send(runner::Input::Weights(weights));
             }
-            actix_rt::time::sleep(TELL_EVERY).await;
+            actix_rt::time::sleep(ANNOUNCE_INTERVAL).await;
         }
     }
 
-    /// Makes this node leave; returns what is in flight here.
-    pub fn drain_here(&self) -> u32 {
+    /// Starts the shutdown of this node; returns the number of requests in flight.
+    pub fn drain_self(&self) -> u32 {
         let _ = self.drain.send(true);
-        let loads = self.shared.dispatch.loads.all();
-        let busy = loads
+        let loads = self.shared.dispatch.board.all();
+        let counts = loads
             .values()
             .map(|load| load.online + load.batch + load.queued);
-        busy.sum()
+        counts.sum()
     }
 
-    /// Makes a node leave; none when it does not answer.
+    /// Starts the shutdown of a node; returns none if it does not answer.
     pub async fn drain(&self, node: &str) -> Option<u32> {
         if node.is_empty() || *node == *self.shared.node {
-            return Some(self.drain_here());
+            return Some(self.drain_self());
         }
         match self.net.ask(node, Query::Drain).await? {
             Reply::Draining { in_flight } => Some(in_flight),
@@ -260,7 +260,7 @@
         }
     }
 
-    /// The loads of every dispatcher that answers, with the node it is on.
+    /// Returns the loads of every dispatcher that answers, with its node.
     pub async fn loads(&self) -> Vec<(Name, Loads)> {
         let here = self.shared.dispatch.loads.all();
         let mut all = vec![(self.shared.node.clone(), here)];
@@ -268,13 +268,13 @@
         let peers = view
             .usable()
             .filter(|member| member.name != self.shared.node);
-        let mut asking: FuturesUnordered<_> = peers
+        let mut replies: FuturesUnordered<_> = peers
             .map(|member| async {
                 let reply = self.net.ask(&member.name, Query::Loads).await;
                 (member.name.clone(), reply)
             })
             .collect();
-        while let Some((node, reply)) = asking.next().await {
+        while let Some((node, reply)) = replies.next().await {
             if let Some(Reply::Loads(loads)) = reply {
                 all.push((node, loads.into_iter().collect()));
             }
@@ -282,13 +282,13 @@
         all
     }
 
-    /// True when callers can go to another node.
+    /// Returns true if callers can use another node.
     pub fn has_peers(&self) -> bool {
         let view = self.shared.view.read();
         view.usable().any(|member| member.name != self.shared.node)
     }
 
-    /// What marks a change of the configuration.
+    /// Returns the id and time of a configuration change.
     pub fn stamp() -> Stamp {
         Stamp {
             id: rand::random(),
@@ -296,20 +296,20 @@
         }
     }
 
-    /// The present time.
+    /// The current time.
     pub fn now(&self) -> Time {
         self.shared.clock.now()
     }
 
-    /// Takes a document that was just committed here, so that this node acts
-    /// by it at once.
+    /// Applies a document that was just committed through this node, so that it is in force
+    /// here immediately.
     pub fn committed(&self, asked: Time, document: crate::config::Document) {
         self.watch.committed(asked, document.into());
     }
 }
 
-/// The busiest of several views of one endpoint: after a dispatcher moved, the
-/// old one still shows its emptied queue for a while.
+/// Returns the busiest of several views of one endpoint. After a dispatcher has moved, the old
+/// one reports its empty queue for a while.
 pub fn busiest(loads: &[(Name, Loads)], endpoint: &str) -> Option<(Name, Load)> {
     let found = loads.iter().filter_map(|(node, loads)| {
         let load = loads.get(endpoint)?;
@@ -318,8 +318,9 @@
     found.max_by_key(|(_, load)| load.online + load.batch + load.queued)
 }
 
-/// A number that tells this process from others of the same name: the wall
-/// clock first, so that a later process usually has the higher one, then chance.
+/// Returns a number that distinguishes this process from others of the same name. The wall
+/// clock forms the high bits, so that a later process usually has the higher number; the low
+/// bits are random.
 pub fn boot() -> u64 {
     (unix_millis() << 20) | (rand::random::<u64>() & 0xF_FFFF)
 }
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -1,4 +1,4 @@
-//! The other nodes, as the configuration's watch asks them.
+//! The other nodes, as queried by the configuration watch.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -16,72 +16,72 @@
 use crate::table::{Fault, Roster, Vm};
 use crate::wire::query::{Query, Reply};
 
-/// Longest wait for a peer's answer.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout of a query to a peer.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The platform's list, which is remembered when it was last read.
+/// The platform's list of VMs, cached at each read.
 #[derive(Clone)]
-pub struct Remembered {
+pub struct CachedRoster {
     client: Client,
-    last: Rc<RefCell<Vec<Vm>>>,
+    cache: Rc<RefCell<Vec<Vm>>>,
 }
 
-impl Remembered {
-    /// Remembers nothing yet.
+impl CachedRoster {
+    /// Creates a roster with an empty cache.
     pub fn new(client: Client) -> Self {
         Self {
             client,
-            last: Rc::default(),
+            cache: Rc::default(),
         }
     }
 
-    fn holds(&self, name: &str) -> bool {
-        self.last.borrow().iter().any(|vm| &*vm.name == name)
+    fn contains(&self, name: &str) -> bool {
+        self.cache.borrow().iter().any(|vm| &*vm.name == name)
     }
 }
 
-impl Roster for Remembered {
+impl Roster for CachedRoster {
     async fn list(&self) -> Result<Vec<Vm>, Fault> {
         let list = self.client.list().await?;
-        self.last.borrow_mut().clone_from(&list);
+        self.cache.borrow_mut().clone_from(&list);
         Ok(list)
     }
 }
 
-/// The other nodes over connections of the control thread's own.
+/// The other nodes, over the control thread's own connections.
 #[derive(Clone)]
 pub struct Net {
     /// This node's name.
     pub node: Name,
     /// The members.
     pub view: Arc<Cell<View>>,
-    /// Connections that carry nothing else.
+    /// Connections used only for control queries.
     pub pool: Rc<Pool>,
     /// The platform's list.
-    pub roster: Remembered,
+    pub roster: CachedRoster,
 }
 
 impl Net {
-    /// Asks a member; none when it does not answer.
+    /// Queries a member; returns none if it does not answer.
     pub async fn ask(&self, peer: &str, query: Query) -> Option<Reply> {
         let link = self.view.read().find(peer)?.link.clone();
-        self.pool.ask(&link, query, ANSWER_TIMEOUT).await
+        self.pool.ask(&link, query, QUERY_TIMEOUT).await
     }
 }
 
 impl Peers for Net {
     fn names(&self) -> Vec<Name> {
         let view = self.view.read();
-        let counts = |state, name: &str| match state {
+        let is_included = |state, name: &str| match state {
             State::Alive | State::Suspect => true,
-            // The platform says that the VM is there: it may be cut off and at
-            // work behind the cut.
-            State::Dead => self.roster.holds(name),
+            // The platform still lists the VM: it may be partitioned from this node and still
+            // running.
+            State::Dead => self.roster.contains(name),
             State::Leaving => false,
         };
         view.members
             .iter()
-            .filter(|member| member.name != self.node && counts(member.state, &member.name))
+            .filter(|member| member.name != self.node && is_included(member.state, &member.name))
             .map(|member| member.name.clone())
             .collect()
     }
--- a/src/node/remote.rs
+++ b/src/node/remote.rs
@@ -5,42 +5,42 @@
 
 use tokio::sync::{mpsc, oneshot};
 
-/// Calls that may wait for the control thread.
-const WAITING: usize = 256;
+/// Capacity of the queue of calls to the control thread.
+const QUEUE_CAPACITY: usize = 256;
 
-type Job<S> = Box<dyn FnOnce(Rc<S>) + Send>;
+type Task<S> = Box<dyn FnOnce(Rc<S>) + Send>;
 
-/// Runs functions on the thread that owns an `S`. Only operators' methods use
-/// it; no question waits for the control thread.
+/// Runs functions on the thread that owns an `S`. Only operators' methods use it; callers'
+/// questions never wait for the control thread.
 pub struct Remote<S> {
-    jobs: mpsc::Sender<Job<S>>,
+    tasks: mpsc::Sender<Task<S>>,
 }
 
 impl<S> Clone for Remote<S> {
     fn clone(&self) -> Self {
         Self {
-            jobs: self.jobs.clone(),
+            tasks: self.tasks.clone(),
         }
     }
 }
 
 /// The owning thread's end of a [`Remote`].
 pub struct Inbox<S> {
-    jobs: mpsc::Receiver<Job<S>>,
+    tasks: mpsc::Receiver<Task<S>>,
 }
 
-/// A remote and the inbox that its owner serves.
+/// Creates a remote and the inbox for its owner.
 pub fn channel<S>() -> (Remote<S>, Inbox<S>) {
-    let (sender, receiver) = mpsc::channel(WAITING);
-    (Remote { jobs: sender }, Inbox { jobs: receiver })
+    let (sender, receiver) = mpsc::channel(QUEUE_CAPACITY);
+    (Remote { tasks: sender }, Inbox { tasks: receiver })
 }
 
 impl<S> Remote<S>
 where
     S: 'static,
 {
-    /// Runs `call` on the owner's thread; none when the owner is gone or has
-    /// too many calls to make.
+    /// Runs `call` on the owner's thread; returns none if the owner has ended or its queue is
+    /// full.
     pub async fn call<F, A, R>(&self, call: F) -> Option<R>
     where
         F: FnOnce(Rc<S>) -> A + Send + 'static,
@@ -48,22 +48,22 @@
         R: Send + 'static,
     {
         let (reply, answer) = oneshot::channel();
-        let job = move |owner| {
-            let answering = call(owner);
+        let task = move |owner| {
+            let result = call(owner);
             actix_rt::spawn(async move {
-                let _ = reply.send(answering.await);
+                let _ = reply.send(result.await);
             });
         };
-        self.jobs.try_send(Box::new(job)).ok()?;
+        self.tasks.try_send(Box::new(task)).ok()?;
         answer.await.ok()
     }
 }
 
 impl<S> Inbox<S> {
-    /// Runs calls until every remote is gone.
+    /// Runs calls until every remote is dropped.
     pub async fn serve(mut self, owner: Rc<S>) {
-        while let Some(job) = self.jobs.recv().await {
-            job(Rc::clone(&owner));
+        while let Some(task) = self.tasks.recv().await {
+            task(Rc::clone(&owner));
         }
     }
 }
--- a/src/node/shares.rs
+++ b/src/node/shares.rs
@@ -1,9 +1,8 @@
-//! Shares of organisations' limits, from those that divide them to the
-//! gateways that keep within them.
+//! Distributes shares of organisations' limits to the gateways that enforce them.
 //!
-//! Each organisation's limits are divided by one node that its name picks out
-//! of the members; gateways report to it and it answers, in single datagrams
-//! that may get lost.
+//! One node per organisation, selected by the organisation's name, divides its limits. Gateways
+//! send their demand to that node and receive grants, each in a single datagram that may get
+//! lost.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -18,9 +17,9 @@
 use crate::member::shell::Handle;
 use crate::name::Name;
 
-/// Topic of a gateway's report to the node that divides.
+/// Topic of a gateway's demand report to the dividing node.
 pub const DEMAND: u8 = 1;
-/// Topic of that node's answer.
+/// Topic of the dividing node's grant.
 pub const GRANT: u8 = 2;
 
 #[derive(Debug, Serialize, Deserialize)]
@@ -37,7 +36,7 @@
     grant: Grant,
 }
 
-/// The control thread's part of the limits.
+/// Exchanges demand reports and grants on the control thread.
 pub struct Shares {
     shared: Shared,
     members: Handle,
@@ -46,7 +45,7 @@
 }
 
 impl Shares {
-    /// Passes grants on to the gateways of `grants`, one a traffic thread.
+    /// Creates the service; `grants` has one channel per traffic thread.
     pub fn new(shared: Shared, members: Handle, grants: Vec<mpsc::Sender<(Name, Grant)>>) -> Self {
         Self {
             shared,
@@ -56,17 +55,17 @@
         }
     }
 
-    /// A gateway of this node reports.
-    pub fn wish(&self, wish: DemandReport) {
+    /// Sends a report of this node's gateway to the dividing node.
+    pub fn send_demand(&self, demand: DemandReport) {
         let owner = {
             let view = self.shared.view.read();
-            limit::owner(&view, &wish.organisation).map(|member| member.name.clone())
+            limit::owner(&view, &demand.organisation).map(|member| member.name.clone())
         };
         let Some(owner) = owner else { return };
         let report = Report {
-            thread: wish.thread,
-            organisation: wish.organisation,
-            demand: wish.demand,
+            thread: demand.thread,
+            organisation: demand.organisation,
+            demand: demand.demand,
         };
         if owner == self.shared.node {
             let share = self.divide(&owner, &report);
@@ -76,7 +75,7 @@
         }
     }
 
-    /// A datagram about limits came from another node.
+    /// Handles a datagram about limits from another node.
     pub fn receive(&self, from: &Name, topic: u8, value: &Bytes) {
         match topic {
             DEMAND => {
@@ -119,7 +118,7 @@
 
     fn take(&self, share: Share) {
         if let Some(gateway) = self.grants.get(share.thread) {
-            // A lost grant is made good by the next report's.
+            // The next report compensates for a lost grant.
             let _ = gateway.try_send((share.organisation, share.grant));
         }
     }
@@ -130,7 +129,7 @@
     V: Serialize,
 {
     let mut bytes = Vec::with_capacity(96);
-    // Writing plain data into memory can't fail.
+    // Serialising plain data into memory can't fail.
     let _ = ciborium::into_writer(value, &mut bytes);
     bytes.into()
 }
@@ -142,9 +141,9 @@
     ciborium::from_reader(&bytes[..]).ok()
 }
 
-/// Serves the reports of this node's gateways.
+/// Forwards the reports of this node's gateways.
 pub async fn serve(shares: Rc<Shares>, mut demands: mpsc::Receiver<DemandReport>) {
-    while let Some(wish) = demands.recv().await {
-        shares.wish(wish);
+    while let Some(demand) = demands.recv().await {
+        shares.send_demand(demand);
     }
 }
--- a/src/node/traffic.rs
+++ b/src/node/traffic.rs
@@ -1,5 +1,5 @@
-//! One traffic thread: a gateway for callers, and the dispatchers of the
-//! endpoints that hash to it.
+//! A traffic thread: a gateway for callers, and the dispatchers of the endpoints that hash to
+//! it.
 
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
@@ -21,38 +21,38 @@
 use crate::table::http::Client;
 use crate::{http, link};
 
-/// What a traffic thread is started with.
+/// Start parameters of a traffic thread.
 pub struct Thread {
-    /// What it shares with the rest of the node.
+    /// State that the threads of the node share.
     pub shared: Shared,
-    /// Which traffic thread this is, from 0.
+    /// Index of this traffic thread.
     pub number: usize,
-    /// How many there are.
+    /// Number of traffic threads.
     pub threads: usize,
-    /// Questions of other nodes go there.
+    /// Channel for other nodes' queries.
     pub queries: mpsc::Sender<PendingQuery>,
-    /// What this thread's organisations ask goes there.
+    /// Channel for the organisations' demand on this thread.
     pub demands: mpsc::Sender<DemandReport>,
-    /// What they are granted comes from there.
+    /// Grants for this thread.
     pub grants: mpsc::Receiver<(Name, Grant)>,
-    /// The way to the control thread, for operators.
+    /// Calls to the control thread, for operators.
     pub control: Remote<Control>,
-    /// This thread's end of the dispatchers' handle.
-    pub desk: Channels,
-    /// The callers' socket, which all threads accept from.
+    /// This thread's end of the dispatch handle.
+    pub desk: Desk,
+    /// The callers' socket; all threads accept from it.
     pub callers: TcpListener,
-    /// The other nodes' socket, which all threads accept from.
+    /// The other nodes' socket; all threads accept from it.
     pub links: TcpListener,
-    /// Turns true when everything in flight must get its final answer.
+    /// Becomes true when every request in flight must be answered immediately.
     pub cut: watch::Receiver<bool>,
-    /// Where the platform is.
+    /// The platform's address.
     pub platform: SocketAddr,
-    /// Turns true when no new connection is accepted any more.
+    /// Becomes true when no new connections are accepted.
     pub stopped: watch::Receiver<bool>,
 }
 
 impl Thread {
-    /// Starts the thread's services on the runtime of the calling thread.
+    /// Starts the thread's services on the calling thread's runtime.
     pub fn start(self) {
         let shell = Shell::new(&self.shared, self.desk.loads);
         actix_rt::spawn(shell.run(self.desk.submits));
--- a/src/node/work.rs
+++ b/src/node/work.rs
@@ -1,30 +1,29 @@
-//! Counts what is in flight on a node, so that a planned stop cuts nothing
-//! short.
+//! Counts the work in flight on a node, so that a shutdown can wait for it.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// A count shared by every thread.
+/// A counter shared by all threads.
 #[derive(Clone, Debug, Default)]
 pub struct Work {
     count: Arc<AtomicUsize>,
 }
 
-/// One thing in flight, until it is dropped.
+/// Counts one item of work until dropped.
 #[derive(Debug)]
 pub struct Guard {
     count: Arc<AtomicUsize>,
 }
 
 impl Work {
-    /// Counts one more thing for as long as the guard lives.
+    /// Counts one more item of work until the guard is dropped.
     pub fn begin(&self) -> Guard {
         self.count.fetch_add(1, Ordering::Relaxed);
         let count = Arc::clone(&self.count);
         Guard { count }
     }
 
-    /// How much is in flight.
+    /// Returns the number of items in flight.
     pub fn count(&self) -> usize {
         self.count.load(Ordering::Relaxed)
     }
