--- a/src/node.rs
+++ b/src/node.rs
@@ -186,7 +186,7 @@
     let batch_counts = batch::Counts::default();
     metrics.extend(|registry| batch_counts.register(registry));
     let threads = settings.traffic_threads;
-    let (dispatch, desks) = Handle::new(threads);
+    let (dispatch, channels) = Handle::new(threads);
     let (crashes, observed) = quarantine::Handle::new();
     let kernel = services(&own, dispatch, metrics, crashes);
     let shared = shared(settings, &own, clock, &kernel)?;
@@ -198,14 +198,14 @@
     let (cut_off, cut) = watch::channel(false);
     let mut arbiters = Vec::new();
     let mut grants_in = Vec::new();
-    for (number, desk) in desks.into_iter().enumerate() {
+    for (number, dispatch_channels) in channels.into_iter().enumerate() {
         let (grant, grants) = mpsc::channel(CHANNEL_CAPACITY);
         grants_in.push(grant);
         let thread = traffic::Thread {
             number,
             threads,
             shared: shared.clone(),
-            desk,
+            channels: dispatch_channels,
             queries: queries_in.clone(),
             demands: demands_in.clone(),
             grants,
--- a/src/node/batch.rs
+++ b/src/node/batch.rs
@@ -148,7 +148,7 @@
 
 impl Executor {
     fn room_at(&self, assigned: &Assigned) -> usize {
-        let room = match self.shared.dispatch.board.load(&assigned.endpoint) {
+        let room = match self.shared.dispatch.loads.load(&assigned.endpoint) {
             Some(load) => load.room,
             None => assigned.slots,
         };
--- a/src/node/control.rs
+++ b/src/node/control.rs
@@ -242,7 +242,7 @@
     /// Starts the shutdown of this node; returns the number of requests in flight.
     pub fn drain_self(&self) -> u32 {
         let _ = self.drain.send(true);
-        let loads = self.shared.dispatch.board.all();
+        let loads = self.shared.dispatch.loads.all();
         let counts = loads
             .values()
             .map(|load| load.online + load.batch + load.queued);
--- a/src/node/traffic.rs
+++ b/src/node/traffic.rs
@@ -38,7 +38,7 @@
     /// Calls to the control thread, for operators.
     pub control: Remote<Control>,
     /// This thread's end of the dispatch handle.
-    pub desk: Desk,
+    pub channels: Channels,
     /// The callers' socket; all threads accept from it.
     pub callers: TcpListener,
     /// The other nodes' socket; all threads accept from it.
@@ -54,8 +54,8 @@
 impl Thread {
     /// Starts the thread's services on the calling thread's runtime.
     pub fn start(self) {
-        let shell = Shell::new(&self.shared, self.desk.loads);
-        actix_rt::spawn(shell.run(self.desk.submits));
+        let shell = Shell::new(&self.shared, self.channels.loads);
+        actix_rt::spawn(shell.run(self.channels.submits));
         let desk = link::server::Desk {
             node: self.shared.node.clone(),
             handle: self.shared.dispatch.clone(),
