--- a/src/node/control.rs
+++ b/src/node/control.rs
@@ -60,7 +60,7 @@
     /// Becomes true when an operator drains this node.
     pub drain: watch::Sender<bool>,
     /// Endpoint crashes observed by this node.
-    pub observed: mpsc::Receiver<quarantine::Told>,
+    pub observed: mpsc::Receiver<quarantine::Report>,
 }
 
 /// The services of the control thread.
