--- a/src/node/control.rs
+++ b/src/node/control.rs
@@ -84,7 +84,7 @@
     actix_rt::spawn(register(start.client.clone(), start.setup.me.vm()));
     let roster = CachedRoster::new(start.client.clone());
     let (members, events) = shell::start(start.setup, start.socket, roster.clone());
-    let (crashes, notes) = mpsc::channel(quarantine::WAITING);
+    let (crashes, notes) = mpsc::channel(quarantine::MAX_QUEUED);
     actix_rt::spawn(quarantine::decide(
         shared.clock,
         members.clone(),
--- a/src/quarantine.rs
+++ b/src/quarantine.rs
@@ -1,7 +1,10 @@
-//! Requests that crash the endpoints that run them: such a request is told from
-//! those that happened to run beside it, and is not run any more.
+//! Quarantine of requests that crash the endpoints that run them.
 //!
-//! [`evidence`] decides. [`detector`] acts on one thread; [`statuses`] for several. docs/design/quarantine.md weighs the ways.
+//! Such a request is told apart from those that merely ran on the same endpoint at the time,
+//! and is then refused until its quarantine ends.
+//!
+//! [`evidence`] decides which requests are to blame. [`detector`] acts on it on a single thread,
+//! [`statuses`] on several threads. docs/design/quarantine.md compares the alternatives.
 
 pub mod detector;
 pub mod evidence;
--- a/src/quarantine/detector.rs
+++ b/src/quarantine/detector.rs
@@ -1,5 +1,5 @@
-//! One node's part in the quarantine: looks into lost runs, tells other nodes, keeps
-//! verdicts in the store, and says how each request stands.
+//! One node's part in the quarantine: investigates failed runs, notifies other nodes, stores
+//! verdicts, and reports the status of each request.
 
 use std::cell::{Cell as Flag, RefCell};
 use std::collections::BTreeMap;
@@ -28,24 +28,26 @@
 use crate::wire;
 use crate::wire::control::Note;
 
-/// How often verdicts that are due are looked for.
-const TICK: Duration = Duration::from_millis(100);
-/// How long an endpoint that lost a run is watched.
-const WATCH: Duration = Duration::from_secs(5);
-/// How often its entry is looked at.
-const WATCH_EVERY: Duration = Duration::from_millis(200);
-/// A process that ends closes its listener a moment before or after its connections.
-const CLOSING: Duration = Duration::from_millis(10);
-/// Endpoints watched at a time.
-const MOST_WATCHED: usize = 128;
-/// A member that is to store a verdict has so long until the next one does.
-const TURN: Duration = Duration::from_millis(300);
-/// Least time between two readings of the verdicts' changes.
-const FEED_GAP: Duration = Duration::from_millis(100);
-/// How long after its end a verdict's row stays, so that who reads late knows of it.
-const ROW_GRACE: Duration = Duration::from_secs(900);
+/// Interval between checks for verdicts that are due.
+const STEP_INTERVAL: Duration = Duration::from_millis(100);
+/// How long an endpoint is watched after a run failed there.
+const WATCH_PERIOD: Duration = Duration::from_secs(5);
+/// Interval between checks of its entry.
+const WATCH_INTERVAL: Duration = Duration::from_millis(200);
+/// Delay before the listener is probed again. A process that ends may close its listener
+/// slightly later than its connections.
+const PROBE_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// Limit on the endpoints watched at the same time.
+const MAX_WATCHED: usize = 128;
+/// Delay per rank before a member stores a verdict, so that a lower-ranked one takes over when
+/// those before it have not stored it.
+const STORE_DELAY: Duration = Duration::from_millis(300);
+/// Minimum interval between two reads of the changes to stored verdicts.
+const READ_INTERVAL: Duration = Duration::from_millis(100);
+/// How long a verdict's row is kept after its end, so that nodes that read late still see it.
+const ROW_RETENTION: Duration = Duration::from_secs(900);
 
-/// What a [`Detector`] works with.
+/// Dependencies of a [`Detector`].
 pub struct Setup {
     /// This process's name among the members.
     pub me: Name,
@@ -57,48 +59,48 @@
     pub catalog: Arc<Cell<Catalog>>,
     /// The members.
     pub view: Arc<Cell<View>>,
-    /// Where observations go that other nodes are to hear of.
+    /// Queue of the observations to send to other nodes.
     pub notes: mpsc::Sender<Note>,
     /// The counters.
     pub count: Count,
 }
 
-/// A run that was lost.
+/// A run that failed before its answer was complete.
 #[derive(Clone, Copy, Debug)]
 pub struct Run<'a> {
     /// The id of its attempt, for the log.
     pub id: &'a Name,
-    /// Which request it was.
+    /// The request.
     pub request: Fingerprint,
-    /// How long it had lasted.
+    /// How long it ran.
     pub ran: Duration,
-    /// How it was lost.
+    /// How it failed.
     pub why: &'static str,
 }
 
-/// A verdict that was reached here and is not known to be in the store.
+/// A verdict reached by this node that the store is not known to hold.
 struct Unsaved {
     reached: Time,
     condemnation: Condemnation,
     saving: bool,
 }
 
-/// What one node knows and does about requests that crash endpoints.
+/// Detects requests that crash endpoints, on one thread of a node.
 pub struct Detector {
     setup: Setup,
     evidence: RefCell<Evidence>,
     unsaved: RefCell<BTreeMap<Fingerprint, Unsaved>>,
-    /// The rows in the store, and when each ends by its clock.
+    /// The rows in the store, with the end of each by the store's clock in milliseconds.
     rows: RefCell<BTreeMap<Fingerprint, u64>>,
-    /// When the store was last heard, and what its clock said.
+    /// Time of the store's last answer, and its clock in that answer.
     store_clock: Flag<Option<(Time, u64)>>,
     watched: Flag<usize>,
-    /// Told at each verdict.
+    /// Notified at each verdict.
     changed: Notify,
 }
 
 impl Detector {
-    /// Knows nothing yet.
+    /// Creates a detector without evidence.
     pub fn new(setup: Setup) -> Rc<Self> {
         Rc::new(Self {
             setup,
@@ -115,12 +117,12 @@
         self.setup.clock.now()
     }
 
-    /// How a request stands now.
+    /// Returns the current status of a request.
     pub fn status(&self, request: Fingerprint) -> Status {
         self.evidence.borrow().status(self.now(), request)
     }
 
-    /// Returns once the request is condemned.
+    /// Waits until the request is condemned.
     pub async fn until_condemned(&self, request: Fingerprint) {
         loop {
             let changed = self.changed.notified();
@@ -131,13 +133,13 @@
         }
     }
 
-    /// Looks into a run that `endpoint` did not end, and returns what is known of the
-    /// endpoint's process; one whose end is still open is watched.
+    /// Investigates a run that failed at `endpoint` and returns a finding about the endpoint's
+    /// process. While it is undecided, the endpoint is watched.
     pub async fn investigate(self: &Rc<Self>, endpoint: &Arc<Endpoint>, run: Run<'_>) -> Finding {
         let entry = loss::entry(&self.setup.catalog.read(), endpoint);
         let mut listener = loss::probe(endpoint).await;
         if listener == Reachability::Open {
-            sleep(CLOSING).await;
+            sleep(PROBE_RETRY_DELAY).await;
             listener = loss::probe(endpoint).await;
         }
         log::info!(
@@ -153,33 +155,33 @@
         let stage = Stage::of(run.ran);
         let finding = loss::classify(entry, listener);
         match finding {
-            Finding::Crashed => self.blame(endpoint, run.request, stage),
+            Finding::Crashed => self.record_crash(endpoint, run.request, stage),
             Finding::NotCrashed => {}
             Finding::Undecided => self.watch(endpoint, run.request, stage),
         }
         finding
     }
 
-    /// Watches an endpoint whose process may have ended unseen: behind a cut path, or
+    /// Watches an endpoint whose process may have ended unnoticed: behind a partition, or
     /// without closing its connections.
     fn watch(self: &Rc<Self>, endpoint: &Arc<Endpoint>, request: Fingerprint, stage: Stage) {
-        if self.watched.get() >= MOST_WATCHED {
+        if self.watched.get() >= MAX_WATCHED {
             return;
         }
         self.watched.set(self.watched.get() + 1);
         let (detector, endpoint) = (Rc::clone(self), Arc::clone(endpoint));
         actix_rt::spawn(async move {
-            if detector.watch_to_end(&endpoint).await == Finding::Crashed {
-                detector.blame(&endpoint, request, stage);
+            if detector.watch_until_decided(&endpoint).await == Finding::Crashed {
+                detector.record_crash(&endpoint, request, stage);
             }
             detector.watched.set(detector.watched.get() - 1);
         });
     }
 
-    async fn watch_to_end(&self, endpoint: &Endpoint) -> Finding {
-        let until = self.now() + WATCH;
+    async fn watch_until_decided(&self, endpoint: &Endpoint) -> Finding {
+        let until = self.now() + WATCH_PERIOD;
         while self.now() < until {
-            sleep(WATCH_EVERY).await;
+            sleep(WATCH_INTERVAL).await;
             let entry = loss::entry(&self.setup.catalog.read(), endpoint);
             let listener = match entry {
                 loss::Entry::Gone => loss::probe(endpoint).await,
@@ -193,7 +195,7 @@
         Finding::NotCrashed
     }
 
-    fn blame(&self, endpoint: &Endpoint, request: Fingerprint, stage: Stage) {
+    fn record_crash(&self, endpoint: &Endpoint, request: Fingerprint, stage: Stage) {
         let crash = Crash {
             endpoint: endpoint.id.clone(),
             incarnation: endpoint.incarnation,
@@ -204,42 +206,42 @@
             Added::New => {
                 evidence.update_blame(now);
                 self.setup.count.record_lost_run();
-                self.tell(&Observation::Crashed(request, crash, stage), 1);
+                self.notify_members(&Observation::Crashed(request, crash, stage), 1);
             }
             Added::Ignored | Added::Refuted(_) => {}
         }
     }
 
-    /// A run of the request ended as it should.
+    /// Records that a run of the request completed.
     pub fn completed(&self, request: Fingerprint) {
         let now = self.now();
         if self.evidence.borrow_mut().add_completion(now, request) {
             log::info!("{} print={request}", event::REQUEST_CLEARED);
-            self.tell_sound(request);
+            self.notify_completion(request);
         }
     }
 
-    fn tell_sound(&self, request: Fingerprint) {
-        self.tell(&Observation::Completed(request), unix_millis());
+    fn notify_completion(&self, request: Fingerprint) {
+        self.notify_members(&Observation::Completed(request), unix_millis());
     }
 
-    fn tell(&self, observation: &Observation, version: u64) {
-        // What does not fit is lost like a datagram; the other runs of the crash, or
-        // the next crash, tell as much.
+    fn notify_members(&self, observation: &Observation, version: u64) {
+        // A note that does not fit is dropped; the other runs of the crash, or the next
+        // crash, produce equivalent ones.
         let _ = self.setup.notes.try_send(observation.note(version));
     }
 
-    /// Takes what another node observed.
+    /// Applies an observation of another node.
     pub fn apply_note(&self, note: &Note) {
         let now = self.now();
         match Observation::read(note) {
             Some(Observation::Crashed(request, crash, stage)) => {
                 let mut evidence = self.evidence.borrow_mut();
                 if evidence.add_crash(now, crash, request, stage) == Added::Refuted(true) {
-                    self.tell_sound(request);
+                    self.notify_completion(request);
                 }
             }
-            // Whoever told it has told all others.
+            // Its sender has notified all other nodes.
             Some(Observation::Completed(request)) => {
                 self.evidence.borrow_mut().add_completion(now, request);
             }
@@ -247,27 +249,27 @@
         }
     }
 
-    /// Follows the store's verdicts over `feed`, takes `notes` of other nodes, and
-    /// reaches verdicts of its own, for as long as the thread lives.
+    /// Runs until the thread ends: follows the stored verdicts over `feed`, applies the `notes`
+    /// of other nodes, and reaches verdicts.
     pub async fn run<F>(self: Rc<Self>, feed: F, mut notes: mpsc::Receiver<Note>)
     where
         F: Feed + 'static,
     {
-        let learner = Rc::clone(&self);
-        actix_rt::spawn(follow(feed, record::TABLE, FEED_GAP, move |news| {
-            learner.learn(news);
+        let follower = Rc::clone(&self);
+        actix_rt::spawn(follow(feed, record::TABLE, READ_INTERVAL, move |update| {
+            follower.apply_update(update);
         }));
-        let taker = Rc::clone(&self);
+        let receiver = Rc::clone(&self);
         actix_rt::spawn(async move {
             while let Some(note) = notes.recv().await {
-                taker.apply_note(&note);
+                receiver.apply_note(&note);
             }
         });
         loop {
-            sleep(TICK).await;
+            sleep(STEP_INTERVAL).await;
             self.step();
             self.save();
-            self.retire();
+            self.delete_expired();
         }
     }
 
@@ -303,14 +305,14 @@
         self.changed.notify_waiters();
     }
 
-    /// What the store's clock says now, in milliseconds.
+    /// Estimates the store's current clock, in milliseconds.
     fn store_now(&self) -> Option<u64> {
         let (at, clock) = self.store_clock.get()?;
         Some(clock + millis(self.now().since(at)))
     }
 
-    /// Stores the verdicts that it is this member's turn to store. One that is in no
-    /// store is forgotten when all nodes are started anew.
+    /// Stores the verdicts that are this member's to store by now. A verdict that is not stored
+    /// is lost when all nodes restart.
     fn save(self: &Rc<Self>) {
         let Some(clock) = self.store_now() else {
             return;
@@ -319,7 +321,7 @@
         let view = self.setup.view.read();
         for (request, unsaved) in self.unsaved.borrow_mut().iter_mut() {
             let rank = view.rank(&request.to_string(), &self.setup.me);
-            if unsaved.saving || now.since(unsaved.reached) < TURN * rank {
+            if unsaved.saving || now.since(unsaved.reached) < STORE_DELAY * rank {
                 continue;
             }
             unsaved.saving = true;
@@ -339,7 +341,7 @@
     }
 
     async fn store(self: Rc<Self>, request: Fingerprint, row: Row) {
-        // Plain data always has a form.
+        // Encoding plain data can't fail.
         let value = wire::encode(&row).unwrap_or_default();
         let put = Transaction::default().put(record::key(request), value);
         let stored = self.setup.store.transact(put).await;
@@ -359,9 +361,9 @@
         }
     }
 
-    /// Takes the store's verdicts.
-    fn learn(&self, news: Update) {
-        let (rows, clock, said) = match news {
+    /// Applies an update of the stored verdicts.
+    fn apply_update(&self, update: Update) {
+        let (rows, clock, said) = match update {
             Update::Snapshot(snapshot) => {
                 self.rows.borrow_mut().clear();
                 let rows = snapshot.rows.into_iter();
@@ -377,11 +379,11 @@
         };
         self.store_clock.set(Some((said, clock)));
         for (key, value) in rows {
-            self.learn_row(clock, &key, value.as_deref());
+            self.apply_row(clock, &key, value.as_deref());
         }
     }
 
-    fn learn_row(&self, clock: u64, key: &str, value: Option<&[u8]>) {
+    fn apply_row(&self, clock: u64, key: &str, value: Option<&[u8]>) {
         let Some(value) = value else {
             self.rows
                 .borrow_mut()
@@ -414,12 +416,12 @@
         self.changed.notify_waiters();
     }
 
-    /// Removes a row that nobody needs any more, one at a time.
-    fn retire(self: &Rc<Self>) {
+    /// Deletes one expired row, if this member is responsible for it.
+    fn delete_expired(self: &Rc<Self>) {
         let Some(clock) = self.store_now() else {
             return;
         };
-        let grace = millis(ROW_GRACE);
+        let grace = millis(ROW_RETENTION);
         let old = {
             let view = self.setup.view.read();
             let rows = self.rows.borrow();
@@ -435,7 +437,7 @@
         let detector = Rc::clone(self);
         actix_rt::spawn(async move {
             let delete = Transaction::default().delete(record::key(request));
-            // A row that stays is found again at the next whole reading.
+            // A row that remains is found again with the next snapshot.
             if let Err(fault) = detector.setup.store.transact(delete).await {
                 log::debug!("{} print={request} why=\"{fault}\"", event::STORE_CALL_LOST);
             }
--- a/src/quarantine/evidence.rs
+++ b/src/quarantine/evidence.rs
@@ -1,10 +1,10 @@
-//! Which requests are to blame for endpoints that ended, as a decision.
+//! Decides which requests are to blame for endpoint processes that ended. Performs no I/O.
 //!
-//! Each crash is kept with the requests that ran there. A request that several
-//! crashes have in common is condemned; a crash that a condemned request explains
-//! blames nobody else. Nodes tell each other single observations, which can come
-//! late, twice and in any order, so that every node comes to the same verdict and
-//! no node has to live for it.
+//! Each crash is kept with the requests that were running there. A request that several
+//! crashes have in common is condemned; a crash that a condemned request explains counts
+//! against no other request. Nodes exchange single observations, which may arrive late, twice
+//! and in any order, so every node reaches the same verdict and none depends on another
+//! node staying up.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -15,67 +15,70 @@
 use crate::clock::Time;
 use crate::name::Name;
 
-/// Weight of crashes from which a request is condemned: three soon after it began.
-const CONDEMNED: u32 = 6;
-/// A run that lasted so long was more likely there by chance when its endpoint ended;
-/// batch items run for seconds, and are run again after each crash.
-const SOON: Duration = Duration::from_secs(2);
-/// How long a verdict waits for what other nodes saw of the last crash.
-const SETTLE: Duration = Duration::from_millis(800);
-/// A request that ran to its end so long ago is not blamed: it was there by chance.
-/// One that is sent often runs at many endpoints at once, and so where they end.
-const SOUND: Duration = Duration::from_secs(30);
-/// How often others are told so.
-const TELL_SOUND: Duration = Duration::from_secs(1);
+/// Total crash weight at which a request is condemned: three crashes early in a run.
+const CONDEMN_WEIGHT: u32 = 6;
+/// Runs shorter than this count as early when their endpoint ends. A longer run was more
+/// likely there by chance: batch items run for seconds, and are retried after each crash.
+const EARLY_LIMIT: Duration = Duration::from_secs(2);
+/// Delay between the last crash and a verdict, for other nodes' observations to arrive.
+const SETTLE_DELAY: Duration = Duration::from_millis(800);
+/// A request that completed within this time is not blamed: it was there by chance. A
+/// frequent request runs on many endpoints at once, and so also on those that crash.
+const COMPLETION_TTL: Duration = Duration::from_secs(30);
+/// Minimum interval between reports of a request's completion to other nodes.
+const COMPLETION_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 /// How long a crash is remembered.
-const CRASH_MEMORY: Duration = Duration::from_secs(600);
-/// How long a first verdict lasts; each further one doubles it.
+const CRASH_TTL: Duration = Duration::from_secs(600);
+/// Duration of a first quarantine; each further one of the same request doubles it.
 const FIRST_TERM: Duration = Duration::from_secs(900);
-/// Most doublings.
-const MOST_DOUBLINGS: u32 = 5;
-/// Most crashes, requests of one crash, and verdicts that are remembered.
+const MAX_DOUBLINGS: u32 = 5;
+/// Limits on the crashes, the requests of one crash, and the verdicts that are remembered.
 const MAX_CRASHES: usize = 256;
 const MAX_REQUESTS: usize = 64;
 const MAX_VERDICTS: usize = 4_096;
-/// Most requests of which it is remembered that they ran to their end.
-const MAX_SOUND: usize = 4_096;
+/// Limit on the requests whose last completion is remembered.
+const MAX_COMPLETIONS: usize = 4_096;
 
-/// An endpoint's process that ended.
+/// An endpoint process that ended unexpectedly.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Crash {
     /// The endpoint.
     pub endpoint: Name,
-    /// Its process.
+    /// Start of the process, which distinguishes restarts under the same endpoint name.
     pub incarnation: u64,
 }
 
-/// How a request stands.
+/// Quarantine status of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// It may run like any other.
+    /// It may run without restrictions.
     Clear,
-    /// Endpoints ended while it ran there: it runs apart from other suspects, and
-    /// once at a time.
+    /// Endpoints ended while it ran there: it runs on an endpoint without other suspects,
+    /// one run at a time.
     Suspect,
-    /// It is about to be condemned; it does not run for so long.
+    /// It is about to be condemned and does not run for this long.
     Held(Duration),
-    /// It does not run any more.
+    /// It is refused while its quarantine lasts.
     Condemned,
 }
 
-/// When in a run its endpoint ended.
+/// Stage of a run at which its endpoint ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// Later than [`SOON`] after it began.
+    /// At or after [`EARLY_LIMIT`] since the run began.
     Late,
-    /// Soon after it began.
+    /// Before [`EARLY_LIMIT`].
     Early,
 }
 
 impl Stage {
-    /// Of a run that had lasted for `ran`.
+    /// Returns the stage of a run that lasted `ran`.
     pub fn of(ran: Duration) -> Self {
-        if ran < SOON { Self::Early } else { Self::Late }
+        if ran < EARLY_LIMIT {
+            Self::Early
+        } else {
+            Self::Late
+        }
     }
 
     fn weight(self) -> u32 {
@@ -86,35 +89,36 @@
     }
 }
 
-/// What an observation of a crash was.
+/// Effect of adding an observation of a crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Added {
-    /// News.
+    /// It was new and is recorded.
     New,
-    /// Nothing new, or more than is remembered.
+    /// It was already recorded, or is beyond the limits.
     Ignored,
-    /// Wrong: the request has run to its end lately. True when others are to be told.
+    /// The request has completed recently, so the crash is not counted. True when that
+    /// completion is due to be reported to other nodes again.
     Refuted(bool),
 }
 
-/// A request that was condemned, and the crashes it is condemned for.
+/// A verdict that puts a request into quarantine, with the crashes it rests on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Condemnation {
     /// The request.
     pub request: Fingerprint,
-    /// The endpoints that ended under it.
+    /// The endpoint processes that ended while running it.
     pub crashes: Vec<Crash>,
-    /// How long it lasts.
+    /// Duration of the quarantine.
     pub term: Duration,
-    /// How many verdicts there were, with this one.
+    /// Number of verdicts on the request, including this one.
     pub times: u32,
 }
 
 #[derive(Clone, Debug)]
-struct Case {
+struct Incident {
     since: Time,
-    /// When an observation of it last came.
-    told: Time,
+    /// When the latest observation of it was added.
+    last_observed: Time,
     requests: BTreeMap<Fingerprint, Stage>,
 }
 
@@ -131,34 +135,34 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Sound {
+struct Completion {
     at: Time,
-    told: Time,
+    reported: Time,
 }
 
-/// What the crashes without an explanation say about a request.
+/// Blame of a request for the crashes that no verdict explains yet.
 #[derive(Clone, Copy, Debug)]
 struct Blame {
     weight: u32,
     newest: Time,
-    /// Another one ran at one of them that is to blame as much or more.
+    /// At one of these crashes ran another request with as much blame or more.
     is_outranked: bool,
 }
 
-/// What one node knows of crashes and verdicts.
+/// Crashes and verdicts recorded by one node.
 #[derive(Debug, Default)]
 pub struct Evidence {
-    cases: BTreeMap<Crash, Case>,
+    incidents: BTreeMap<Crash, Incident>,
     verdicts: HashMap<Fingerprint, Verdict>,
     blame: HashMap<Fingerprint, Blame>,
-    /// When requests last ran to their end.
-    sound: HashMap<Fingerprint, Sound>,
-    /// Something was added that is not weighed yet.
+    /// Last completion of each request.
+    completions: HashMap<Fingerprint, Completion>,
+    /// A crash was added since `blame` was last computed.
     is_stale: bool,
 }
 
 impl Evidence {
-    /// How a request stands.
+    /// Returns the status of a request.
     pub fn status(&self, now: Time, request: Fingerprint) -> Status {
         let verdict = self.verdicts.get(&request);
         if verdict.is_some_and(|verdict| verdict.is_active(now)) {
@@ -166,7 +170,7 @@
         }
         match self.blame.get(&request) {
             Some(blame) if self.is_due(request, blame) => {
-                let settled = blame.newest + SETTLE;
+                let settled = blame.newest + SETTLE_DELAY;
                 Status::Held(settled.since(now))
             }
             Some(_) => Status::Suspect,
@@ -175,20 +179,21 @@
         }
     }
 
-    /// All requests that don't stand like any other.
+    /// Returns all requests that may have another status than [`Status::Clear`].
     pub fn requests(&self) -> impl Iterator<Item = Fingerprint> {
         self.blame.keys().chain(self.verdicts.keys()).copied()
     }
 
-    /// True when nothing else than time is missing for a verdict. One that was
-    /// condemned before needs one crash only.
+    /// True when a verdict only waits for [`SETTLE_DELAY`]. A request that was condemned
+    /// before needs a single crash.
     fn is_due(&self, request: Fingerprint, blame: &Blame) -> bool {
-        self.verdicts.contains_key(&request) || blame.weight >= CONDEMNED && !blame.is_outranked
+        self.verdicts.contains_key(&request)
+            || blame.weight >= CONDEMN_WEIGHT && !blame.is_outranked
     }
 
-    /// An endpoint ended while the request ran there. It counts from the next
-    /// [`Self::update_blame`] or [`Self::step`] on: in a storm the observations of all nodes
-    /// come together.
+    /// Records that an endpoint ended while the request ran there. It takes effect with the
+    /// next [`Self::update_blame`] or [`Self::step`]: after a crash the observations of all
+    /// nodes arrive together, and the blame need not be recomputed for each.
     pub fn add_crash(
         &mut self,
         now: Time,
@@ -196,27 +201,27 @@
         request: Fingerprint,
         stage: Stage,
     ) -> Added {
-        if let Some(sound) = self.sound.get_mut(&request)
-            && now.since(sound.at) < SOUND
+        if let Some(completion) = self.completions.get_mut(&request)
+            && now.since(completion.at) < COMPLETION_TTL
         {
-            let tells = now.since(sound.told) >= TELL_SOUND;
-            if tells {
-                sound.told = now;
+            let report_due = now.since(completion.reported) >= COMPLETION_REPORT_INTERVAL;
+            if report_due {
+                completion.reported = now;
             }
-            return Added::Refuted(tells);
+            return Added::Refuted(report_due);
         }
-        let case = self.cases.entry(crash).or_insert_with(|| Case {
+        let incident = self.incidents.entry(crash).or_insert_with(|| Incident {
             since: now,
-            told: now,
+            last_observed: now,
             requests: BTreeMap::new(),
         });
-        let known = case.requests.get(&request).copied();
-        if known >= Some(stage) || known.is_none() && case.requests.len() >= MAX_REQUESTS {
+        let known = incident.requests.get(&request).copied();
+        if known >= Some(stage) || known.is_none() && incident.requests.len() >= MAX_REQUESTS {
             return Added::Ignored;
         }
-        case.requests.insert(request, stage);
-        case.told = now;
-        if self.cases.len() > MAX_CRASHES {
+        incident.requests.insert(request, stage);
+        incident.last_observed = now;
+        if self.incidents.len() > MAX_CRASHES {
             self.drop_oldest();
         }
         self.is_stale = true;
@@ -224,42 +229,47 @@
     }
 
     fn drop_oldest(&mut self) {
-        let oldest = self.cases.iter().min_by_key(|(_, case)| case.since);
+        let oldest = self
+            .incidents
+            .iter()
+            .min_by_key(|(_, incident)| incident.since);
         if let Some(crash) = oldest.map(|(crash, _)| crash.clone()) {
-            self.cases.remove(&crash);
+            self.incidents.remove(&crash);
         }
     }
 
-    /// True when the request ran at an endpoint that ended, as far as is known.
+    /// True when a recorded crash involves the request.
     pub fn is_known(&self, request: Fingerprint) -> bool {
-        let ran = |case: &Case| case.requests.contains_key(&request);
-        self.cases.values().any(ran)
+        let ran = |incident: &Incident| incident.requests.contains_key(&request);
+        self.incidents.values().any(ran)
     }
 
-    /// The request ran to its end: what ended while it ran elsewhere had another
-    /// cause. True when that is news to tell.
+    /// Records that the request completed: crashes while it ran elsewhere had another cause.
+    /// Returns true when other nodes have to be notified.
     pub fn add_completion(&mut self, now: Time, request: Fingerprint) -> bool {
         let known = self.is_known(request);
-        let told = match self.sound.get(&request) {
-            Some(sound) if !known => sound.told,
+        let reported = match self.completions.get(&request) {
+            Some(completion) if !known => completion.reported,
             _ => now,
         };
-        if self.sound.len() < MAX_SOUND || self.sound.contains_key(&request) {
-            self.sound.insert(request, Sound { at: now, told });
+        if self.completions.len() < MAX_COMPLETIONS || self.completions.contains_key(&request) {
+            self.completions
+                .insert(request, Completion { at: now, reported });
         }
         if !known {
             return false;
         }
-        for case in self.cases.values_mut() {
-            case.requests.remove(&request);
+        for incident in self.incidents.values_mut() {
+            incident.requests.remove(&request);
         }
-        self.cases.retain(|_, case| !case.requests.is_empty());
+        self.incidents
+            .retain(|_, incident| !incident.requests.is_empty());
         self.update_blame(now);
         true
     }
 
-    /// Takes a verdict that stands in the store and lasts until `until`; one that is
-    /// over is remembered all the same.
+    /// Applies a verdict that lasts until `until`, such as one from the store. An expired
+    /// verdict is recorded too, since it doubles the term of the next one.
     pub fn condemn(&mut self, now: Time, request: Fingerprint, until: Time, times: u32) {
         let verdict = Verdict { until, times };
         let known = self.verdicts.entry(request).or_insert(verdict);
@@ -276,7 +286,7 @@
         self.update_blame(now);
     }
 
-    /// Reaches the verdicts that are due, and forgets what is old.
+    /// Returns the verdicts that are due, and drops expired records.
     pub fn step(&mut self, now: Time) -> Vec<Condemnation> {
         self.expire(now);
         if self.is_stale {
@@ -292,70 +302,72 @@
         reached
     }
 
-    /// The request that is to blame most, if a verdict on it is due. What it
-    /// explains blames nobody else, so the others are weighed anew after it.
+    /// Returns the verdict on the request with the most blame, if one is due. The crashes
+    /// that it explains count against no other request, so the blame is recomputed after
+    /// each verdict.
     fn next(&self, now: Time) -> Option<Condemnation> {
         let due = self.blame.iter().filter(|(request, blame)| {
-            self.is_due(**request, blame) && blame.newest + SETTLE <= now
+            self.is_due(**request, blame) && blame.newest + SETTLE_DELAY <= now
         });
         let (request, _) = due.max_by_key(|(request, blame)| (blame.weight, **request))?;
         let before = self.verdicts.get(request).map_or(0, |it| it.times);
-        let crashes = self.open_cases(now);
-        let crashes = crashes.filter(|(_, case)| case.requests.contains_key(request));
+        let crashes = self.unexplained(now);
+        let crashes = crashes.filter(|(_, incident)| incident.requests.contains_key(request));
         Some(Condemnation {
             request: *request,
             crashes: crashes.map(|(crash, _)| crash.clone()).collect(),
-            term: FIRST_TERM * 2_u32.pow(before.min(MOST_DOUBLINGS)),
+            term: FIRST_TERM * 2_u32.pow(before.min(MAX_DOUBLINGS)),
             times: before + 1,
         })
     }
 
     fn expire(&mut self, now: Time) {
-        self.sound.retain(|_, sound| now.since(sound.at) < SOUND);
-        let before = (self.cases.len(), self.verdicts.len());
-        self.cases
-            .retain(|_, case| now.since(case.since) < CRASH_MEMORY);
+        self.completions
+            .retain(|_, completion| now.since(completion.at) < COMPLETION_TTL);
+        let before = (self.incidents.len(), self.verdicts.len());
+        self.incidents
+            .retain(|_, incident| now.since(incident.since) < CRASH_TTL);
         self.verdicts
             .retain(|_, verdict| now < verdict.until + FIRST_TERM);
-        if before != (self.cases.len(), self.verdicts.len()) {
+        if before != (self.incidents.len(), self.verdicts.len()) {
             self.update_blame(now);
         }
     }
 
-    /// The crashes that no condemned request explains.
-    fn open_cases(&self, now: Time) -> impl Iterator<Item = (&Crash, &Case)> {
+    /// Returns the crashes that no condemned request explains.
+    fn unexplained(&self, now: Time) -> impl Iterator<Item = (&Crash, &Incident)> {
         let explains = move |request: &Fingerprint| {
             let verdict = self.verdicts.get(request);
             verdict.is_some_and(|verdict| verdict.is_active(now))
         };
-        self.cases
+        self.incidents
             .iter()
-            .filter(move |(_, case)| !case.requests.keys().any(explains))
+            .filter(move |(_, incident)| !incident.requests.keys().any(explains))
     }
 
-    /// Weighs anew who is to blame for what.
+    /// Recomputes the blame of each request.
     pub fn update_blame(&mut self, now: Time) {
         self.is_stale = false;
         let mut blame: HashMap<Fingerprint, Blame> = HashMap::new();
-        for (_, case) in self.open_cases(now) {
-            for (request, stage) in &case.requests {
+        for (_, incident) in self.unexplained(now) {
+            for (request, stage) in &incident.requests {
                 let blame = blame.entry(*request).or_insert(Blame {
                     weight: 0,
-                    newest: case.told,
+                    newest: incident.last_observed,
                     is_outranked: false,
                 });
                 blame.weight += stage.weight();
-                blame.newest = blame.newest.max(case.told);
+                blame.newest = blame.newest.max(incident.last_observed);
             }
         }
         let mut outranked = BTreeSet::new();
-        for (_, case) in self.open_cases(now) {
+        for (_, incident) in self.unexplained(now) {
             let weight = |request: &Fingerprint| blame[request].weight;
-            let most = case.requests.keys().map(weight).max().unwrap_or(0);
-            let at_top = case.requests.keys().filter(|it| weight(it) == most);
+            let most = incident.requests.keys().map(weight).max().unwrap_or(0);
+            let at_top = incident.requests.keys().filter(|it| weight(it) == most);
             let is_shared = at_top.count() > 1;
             let below = |it: &&Fingerprint| weight(it) < most || is_shared;
-            outranked.extend(case.requests.keys().filter(below).copied());
+            outranked.extend(incident.requests.keys().filter(below).copied());
         }
         for request in outranked {
             if let Some(blame) = blame.get_mut(&request) {
--- a/src/quarantine/fingerprint.rs
+++ b/src/quarantine/fingerprint.rs
@@ -1,20 +1,20 @@
-//! Which request a request is, whatever its id.
+//! Identity of a request across attempts, independent of its id.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 
-/// The identity of a request over attempts, callers' retries and nodes: its host,
-/// organisation, path and body. The event behind which a stream goes on is no part
-/// of it. Of a cryptographic digest, so that nobody can make a request that is
-/// taken for another's.
+/// Hash of a request's host, organisation, path and body. It is the same across attempts,
+/// callers' retries and nodes; the event from which a stream resumes is not part of it.
+/// It is taken from a cryptographic digest, so that nobody can construct a request that
+/// collides with another caller's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Fingerprint(pub u64);
 
 impl Fingerprint {
-    /// Of a request's parts.
+    /// Computes the fingerprint from a request's parts.
     pub fn of(host: &str, organisation: Option<&str>, path: &str, body: &[u8]) -> Self {
         let mut hash = Sha256::new();
         for part in [
@@ -23,7 +23,7 @@
             path.as_bytes(),
             body,
         ] {
-            // Lengths keep the parts apart.
+            // Length prefixes keep adjacent parts from being confused.
             hash.update(part.len().to_be_bytes());
             hash.update(part);
         }
--- a/src/quarantine/loss.rs
+++ b/src/quarantine/loss.rs
@@ -1,38 +1,38 @@
-//! What became of an endpoint that did not end a run.
+//! Determines whether an endpoint process crashed after a run failed there.
 
 use std::time::Duration;
 
 use crate::catalog::{Catalog, Endpoint};
 use crate::connect::{self, Reachability};
 
-/// Most time for a connection that only tells whether something listens.
-const PROBE: Duration = Duration::from_millis(60);
+/// Time limit of the connection attempt that checks whether anything listens.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// An endpoint's entry, as this node knows it.
+/// State of an endpoint's entry in this node's catalog.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Entry {
-    /// It takes work.
+    /// The endpoint accepts work.
     Ready,
-    /// It leaves.
+    /// The endpoint is leaving.
     Draining,
-    /// It has none.
+    /// There is no entry.
     Gone,
-    /// It is that of a later process.
+    /// The entry belongs to a later process.
     Replaced,
 }
 
-/// What is made of a lost run.
+/// Conclusion about the process on which a run failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Finding {
-    /// The process that ran it has ended, and not as planned.
+    /// The process ended unexpectedly.
     Crashed,
-    /// The process lives, or ended as planned.
+    /// The process is alive, or ended as planned.
     NotCrashed,
-    /// Not known yet: its entry may still go or be replaced.
+    /// Not known yet: the entry may still be removed or replaced.
     Undecided,
 }
 
-/// The entry of the endpoint's process that a run was sent to.
+/// Returns the entry state of the process that a run was sent to.
 pub fn entry(catalog: &Catalog, endpoint: &Endpoint) -> Entry {
     match catalog.endpoints.get(&endpoint.id) {
         Some(known) if known.incarnation != endpoint.incarnation => Entry::Replaced,
@@ -42,14 +42,14 @@
     }
 }
 
-/// Looks whether anything listens where the endpoint was.
+/// Checks whether anything listens at the endpoint's address.
 pub async fn probe(endpoint: &Endpoint) -> Reachability {
-    connect::probe(endpoint.address, PROBE).await
+    connect::probe(endpoint.address, PROBE_TIMEOUT).await
 }
 
-/// What the entry and the listener say just after a run was lost. An endpoint that
-/// leaves, or had left, breaks off what it has not ended by then; a lost answer, a
-/// reset or cut path and a spoiled answer leave the process where it is.
+/// Classifies a failed run by the entry and the listener right after the failure. An endpoint
+/// that is leaving, or has left, aborts its unfinished runs; a lost answer, a reset or cut
+/// connection and a corrupt answer leave the process running. None of these is a crash.
 pub fn classify(entry: Entry, listener: Reachability) -> Finding {
     match (entry, listener) {
         (Entry::Replaced, _) | (Entry::Ready, Reachability::Refused) => Finding::Crashed,
@@ -58,8 +58,8 @@
     }
 }
 
-/// The same while it is watched further. An endpoint that leaves without saying so
-/// serves on when its entry has gone.
+/// Classifies a failed run while its endpoint is watched. An endpoint that leaves without
+/// announcing it keeps serving after its entry is removed, so it is no crash.
 pub fn classify_later(entry: Entry, listener: Reachability) -> Finding {
     match (entry, listener) {
         (Entry::Replaced, _) | (Entry::Gone, Reachability::Refused | Reachability::Silent) => {
--- a/src/quarantine/record.rs
+++ b/src/quarantine/record.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other of crashes, and the row of a verdict.
+//! Gossip notes about crashes, and the stored row of a verdict.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -13,29 +13,29 @@
 pub const TABLE: &str = "quarantine";
 /// The topic of notes about crashes.
 const TOPIC: u8 = 40;
-/// Stands in a note's key in place of a crash.
-const SOUND: &str = "sound";
+/// Marks a completion in a note's key, in place of a crash.
+const COMPLETED: &str = "sound";
 
-/// The value of a note about a run that had lasted for long.
+/// The value of a note about a run in [`Stage::Late`].
 const LATE: &[u8] = b"l";
 
-/// One observation of one node.
+/// A single observation by one node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Observation {
     /// An endpoint ended while the request ran there.
     Crashed(Fingerprint, Crash, Stage),
-    /// The request ran to its end.
+    /// The request completed.
     Completed(Fingerprint),
 }
 
 impl Observation {
-    /// The note that tells it, the `version`th of its key.
+    /// Encodes the observation as a note with the given version of its key.
     pub fn note(&self, version: u64) -> Note {
         let key = match self {
             Self::Crashed(request, crash, _) => {
                 format!("{request}/{:x}/{}", crash.incarnation, crash.endpoint)
             }
-            Self::Completed(request) => format!("{request}/{SOUND}"),
+            Self::Completed(request) => format!("{request}/{COMPLETED}"),
         };
         let value = match self {
             Self::Crashed(_, _, Stage::Late) => LATE,
@@ -49,14 +49,14 @@
         }
     }
 
-    /// Reads a note; none when it is about something else.
+    /// Decodes a note; returns `None` when it has another topic or can't be read.
     pub fn read(note: &Note) -> Option<Self> {
         if note.topic != TOPIC {
             return None;
         }
         let (request, what) = note.key.split_once('/')?;
         let request = Fingerprint(u64::from_str_radix(request, 16).ok()?);
-        if what == SOUND {
+        if what == COMPLETED {
             return Some(Self::Completed(request));
         }
         let (incarnation, endpoint) = what.split_once('/')?;
@@ -73,29 +73,29 @@
     }
 }
 
-/// The value of a verdict's row.
+/// Stored form of a verdict.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
-    /// When it ends, by the store's clock in milliseconds.
+    /// End of the quarantine in milliseconds of the store's clock.
     #[serde(rename = "u")]
     pub until: u64,
-    /// How many verdicts on the request there were.
+    /// Number of verdicts on the request so far.
     #[serde(rename = "n")]
     pub times: u32,
-    /// The endpoints that ended under it, for people.
+    /// The endpoints that ended while running it, for operators.
     #[serde(rename = "e")]
     pub endpoints: Vec<Name>,
 }
 
-/// The key of a verdict's row.
+/// Returns the key of a verdict's row.
 pub fn key(request: Fingerprint) -> String {
     format!("{TABLE}/{request}")
 }
 
-/// Reads a row.
+/// Decodes a row.
 ///
 /// # Errors
-/// When key or value are no verdict's.
+/// When the key or the value is not that of a verdict.
 pub fn decode(key: &str, value: &[u8]) -> Result<(Fingerprint, Row), String> {
     let request = u64::from_str_radix(key, 16).map_err(|error| error.to_string())?;
     let row = wire::decode(value).map_err(|error| error.to_string())?;
--- a/src/quarantine/statuses.rs
+++ b/src/quarantine/statuses.rs
@@ -1,5 +1,5 @@
-//! The quarantine of a node whose traffic runs on several threads: one thread decides,
-//! the others read what it publishes and tell it what they see.
+//! Quarantine of a node whose traffic runs on several threads: one thread decides and publishes
+//! the statuses of requests, the others read them and report their observations to it.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -17,12 +17,12 @@
 use crate::snapshot::Cell;
 use crate::wire::control::Note;
 
-/// How often verdicts that are due are looked for.
-const TICK: Duration = Duration::from_millis(100);
-/// Observations that may wait.
-pub const WAITING: usize = 256;
+/// Interval between checks for verdicts that are due.
+const STEP_INTERVAL: Duration = Duration::from_millis(100);
+/// Capacity of the queue of observations.
+pub const MAX_QUEUED: usize = 256;
 
-/// The requests that don't stand like any other, at one moment.
+/// The requests whose status is not [`Status::Clear`], as a snapshot.
 #[derive(Debug, Default)]
 pub struct Statuses {
     condemned: HashSet<Fingerprint>,
@@ -31,30 +31,30 @@
 }
 
 impl Statuses {
-    /// It is not run any more.
+    /// True when the request is refused.
     pub fn is_condemned(&self, request: Fingerprint) -> bool {
         self.condemned.contains(&request)
     }
 
-    /// It is about to be condemned, and not run meanwhile.
+    /// True when the request is about to be condemned and does not run until then.
     pub fn is_held(&self, request: Fingerprint) -> bool {
         self.held.contains(&request)
     }
 
-    /// That it ran to its end is worth telling.
+    /// True when a completion of the request has to be reported.
     pub fn is_suspect(&self, request: Fingerprint) -> bool {
         self.suspects.contains(&request)
     }
 }
 
-/// What a traffic thread works with; clones share it.
+/// Access of a traffic thread to the quarantine; clones share the same state.
 #[derive(Clone, Debug)]
 pub struct Handle {
     statuses: Arc<Cell<Statuses>>,
     observed: mpsc::Sender<Report>,
 }
 
-/// An observation, and who waits until it is published.
+/// An observation, and the channel that is notified once its effect is published.
 #[derive(Debug)]
 pub struct Report {
     observation: Observation,
@@ -62,40 +62,40 @@
 }
 
 impl Handle {
-    /// A handle, and what it tells.
+    /// Returns a handle, and the receiver of its reports.
     pub fn new() -> (Self, mpsc::Receiver<Report>) {
-        let (observed, inbox) = mpsc::channel(WAITING);
+        let (observed, inbox) = mpsc::channel(MAX_QUEUED);
         let statuses = Arc::new(Cell::new(Statuses::default()));
         let handle = Self { statuses, observed };
         (handle, inbox)
     }
 
-    /// How requests stand.
+    /// Returns the statuses that are currently published.
     pub fn statuses(&self) -> &Cell<Statuses> {
         &self.statuses
     }
 
-    /// Tells the deciding thread.
+    /// Reports an observation to the deciding thread.
     pub fn report(&self, observation: Observation) {
         let done = None;
-        // What does not fit is lost like a datagram; the next crash tells as much.
+        // A report that does not fit is dropped; the next crash reports the same request.
         let _ = self.observed.try_send(Report { observation, done });
     }
 
-    /// The same, and waits until what it leads to is published: the next attempt of the
-    /// same request may begin at once.
+    /// Reports an observation and waits until its effect is published, because the next
+    /// attempt of the same request may begin immediately.
     pub async fn report_and_wait(&self, observation: Observation) {
         let (done, published) = oneshot::channel();
         let done = Some(done);
         if self.observed.try_send(Report { observation, done }).is_ok() {
-            // An error means that the deciding thread has ended.
+            // Fails only when the deciding thread has ended.
             let _ = published.await;
         }
     }
 }
 
-/// Decides for as long as the thread lives: takes this node's observations, which
-/// `members` are told as well, and the `notes` of other nodes.
+/// Runs the deciding task until its thread ends: applies this node's observations, which it
+/// also sends to the other `members`, and the `notes` of other nodes.
 pub async fn decide(
     clock: Clock,
     members: Members,
@@ -109,7 +109,7 @@
         tokio::select! {
             Some(Report { observation, done }) = observed.recv() => {
                 waits = done;
-                if take(&clock, &mut evidence, &observation) {
+                if apply(&clock, &mut evidence, &observation) {
                     let version = match observation {
                         Observation::Crashed(..) => 1,
                         Observation::Completed(_) => unix_millis(),
@@ -120,10 +120,10 @@
             }
             Some(note) = notes.recv() => {
                 if let Some(observation) = Observation::read(&note) {
-                    take(&clock, &mut evidence, &observation);
+                    apply(&clock, &mut evidence, &observation);
                 }
             }
-            () = sleep(TICK) => {}
+            () = sleep(STEP_INTERVAL) => {}
         }
         let now = clock.now();
         for condemnation in evidence.step(now) {
@@ -141,16 +141,16 @@
                 endpoints.join(","),
             );
         }
-        handle.statuses.publish(publish(&evidence, &clock));
+        handle.statuses.publish(snapshot(&evidence, &clock));
         if let Some(done) = waits {
-            // A failure means that the request has ended.
+            // Fails only when the request has ended.
             let _ = done.send(());
         }
     }
 }
 
-/// Takes an observation; true when it was news.
-fn take(clock: &Clock, evidence: &mut Evidence, observation: &Observation) -> bool {
+/// Applies an observation; returns true when other nodes have to be notified.
+fn apply(clock: &Clock, evidence: &mut Evidence, observation: &Observation) -> bool {
     let now = clock.now();
     match observation {
         Observation::Crashed(request, crash, stage) => {
@@ -160,7 +160,7 @@
     }
 }
 
-fn publish(evidence: &Evidence, clock: &Clock) -> Statuses {
+fn snapshot(evidence: &Evidence, clock: &Clock) -> Statuses {
     let now = clock.now();
     let mut statuses = Statuses::default();
     for request in evidence.requests() {
--- a/tests/drill_quarantine.rs
+++ b/tests/drill_quarantine.rs
@@ -1,4 +1,4 @@
-//! Questions that crash the engines that run them, on real processes.
+//! Requests that crash the engines that run them, on real processes.
 
 use std::net::TcpStream;
 
@@ -11,7 +11,7 @@
 const ENGINES: usize = 6;
 const KILLER: &str = "kill-engine";
 
-fn question(prompt: &str, n: usize) -> Value {
+fn prompt_request(prompt: &str, n: usize) -> Value {
     json!({"service": "recipes", "prompt": prompt, "maxTokens": 20, "key": format!("k{n}")})
 }
 
@@ -29,22 +29,23 @@
     fleet
 }
 
-fn dead(fleet: &env::Fleet) -> usize {
+fn crashed(fleet: &env::Fleet) -> usize {
     let engines = fleet.engines.iter();
-    let is_dead = |engine: &&env::Process| TcpStream::connect(engine.address("listening")).is_err();
-    engines.filter(is_dead).count()
+    let has_crashed =
+        |engine: &&env::Process| TcpStream::connect(engine.address("listening")).is_err();
+    engines.filter(has_crashed).count()
 }
 
-/// One question crashes every engine that runs it, and its callers ask it again at
-/// every node: soon no engine is left for anybody else.
+/// A request crashes every engine that runs it, and its callers retry it at every node.
+/// Without the quarantine no engine would be left for other requests.
 #[gtest]
-fn question_kills_engines() {
+fn request_crashes_engines() {
     let fleet = fleet();
     for n in 0..6 {
-        let answer = fleet.caller(n % 3, "Ask", &question(KILLER, n));
+        let answer = fleet.caller(n % 3, "Ask", &prompt_request(KILLER, n));
         expect_that!(answer, err(anything()));
     }
-    expect_that!(dead(&fleet), le(3));
-    let answer = fleet.caller(0, "Ask", &question("good", 100));
+    expect_that!(crashed(&fleet), le(3));
+    let answer = fleet.caller(0, "Ask", &prompt_request("good", 100));
     expect_that!(answer, ok(anything()));
 }
--- a/tests/quarantine_evidence.rs
+++ b/tests/quarantine_evidence.rs
@@ -1,4 +1,4 @@
-//! Which request is to blame for endpoints that ended, and for how long.
+//! Verdicts on requests that crash endpoints, their duration, and the placement of suspects.
 
 use std::time::Duration;
 
@@ -19,8 +19,8 @@
 
 const KILLER: Fingerprint = Fingerprint(1);
 const OTHER: Fingerprint = Fingerprint(2);
-/// A first verdict's term.
-const TERM: u64 = 900_000;
+/// Term of a first verdict.
+const TERM_MS: u64 = 900_000;
 
 fn crash(number: u64) -> Crash {
     Crash {
@@ -56,8 +56,8 @@
     expect_that!(evidence.status(at(900), KILLER), eq(Status::Condemned));
 }
 
-/// A batch item runs for seconds and is run again after each crash. On a day on which
-/// endpoints crash by themselves it meets some of them; three must not condemn it.
+/// A batch item runs for seconds and is retried after each crash. Where endpoints crash for
+/// other reasons it runs into several of these crashes; three must not condemn it.
 #[gtest]
 fn step_long_runs() {
     let mut evidence = Evidence::default();
@@ -71,7 +71,7 @@
     );
 }
 
-/// One crash is seen by several nodes, and told more than once.
+/// A crash that several nodes observe and report repeatedly counts once.
 #[gtest]
 fn add_same_crash() {
     let mut evidence = Evidence::default();
@@ -84,7 +84,7 @@
 
 /// Another request ran beside the killer at each endpoint but one: it is not to blame.
 #[gtest]
-fn step_neighbour_innocent() {
+fn step_neighbour_clear() {
     let mut evidence = Evidence::default();
     for number in 0..3 {
         crashed(&mut evidence, at(0), number, &[KILLER, OTHER]);
@@ -94,8 +94,8 @@
     expect_that!(evidence.status(at(900), OTHER), eq(Status::Clear));
 }
 
-/// Two that ran together each time can't be told apart: both run on, one by one, until
-/// a crash tells which it was.
+/// Two requests that ran together at each crash can't be told apart: both may still run, one
+/// at a time, until a further crash shows which one is to blame.
 #[gtest]
 fn step_tied() {
     let mut evidence = Evidence::default();
@@ -125,10 +125,10 @@
     expect_that!(found, elements_are![eq(&KILLER), eq(&OTHER)]);
 }
 
-/// An answer that came whole speaks for a request: endpoints that end by themselves
-/// would condemn one that is sent often.
+/// A completed run clears a request: otherwise endpoints that crash for other reasons would
+/// condemn a request that is sent often.
 #[gtest]
-fn clear_whole_answer() {
+fn add_completion_clears() {
     let mut evidence = Evidence::default();
     crashed(&mut evidence, at(0), 1, &[OTHER]);
     crashed(&mut evidence, at(0), 2, &[OTHER]);
@@ -138,8 +138,8 @@
     expect_that!(verdicts(&mut evidence, at(1_000)), is_empty());
 }
 
-/// The fault in the model may have been mended: a verdict ends, and one crash more
-/// brings it back for longer.
+/// The fault in the model may have been fixed, so a verdict ends; a single further crash
+/// renews it with a longer term.
 #[gtest]
 fn step_verdict_ends() {
     let mut evidence = Evidence::default();
@@ -147,27 +147,27 @@
         crashed(&mut evidence, at(0), number, &[KILLER]);
     }
     evidence.step(at(900));
-    let ended = 900 + TERM;
+    let ended = 900 + TERM_MS;
     evidence.step(at(ended));
     expect_that!(evidence.status(at(ended), KILLER), eq(Status::Suspect));
     crashed(&mut evidence, at(ended + 10), 9, &[KILLER, OTHER]);
     let again = evidence.step(at(ended + 900));
     expect_that!(again, len(eq(1)));
     expect_that!(again[0].request, eq(KILLER));
-    expect_that!(again[0].term, eq(Duration::from_millis(2 * TERM)));
+    expect_that!(again[0].term, eq(Duration::from_millis(2 * TERM_MS)));
 }
 
-/// A node that has just started knows of no crash, only what the store has.
+/// A node that has just started has seen no crash and relies on the stored verdicts.
 #[gtest]
-fn convict_from_store() {
+fn condemn_from_store() {
     let mut evidence = Evidence::default();
     evidence.condemn(at(0), KILLER, at(5_000), 1);
     expect_that!(evidence.status(at(0), KILLER), eq(Status::Condemned));
     expect_that!(evidence.status(at(5_000), KILLER), eq(Status::Suspect));
 }
 
-/// A flood of different requests that each crash an endpoint must not take memory
-/// without end, nor push out what is known of the newest.
+/// A flood of distinct requests that each crash an endpoint must neither exhaust memory nor
+/// evict the newest crashes.
 #[gtest]
 fn add_flood() {
     let mut evidence = Evidence::default();
@@ -184,10 +184,10 @@
     expect_that!(evidence.is_known(Fingerprint(100 + 1_999)), eq(true));
 }
 
-/// A lost answer, a reset or cut path, and an endpoint that leaves as planned are no
+/// A lost answer, a reset or cut connection, and an endpoint that leaves as planned are no
 /// crash.
 #[gtest]
-fn judge_causes() {
+fn classify_causes() {
     use Finding::{Crashed, NotCrashed, Undecided};
     let now = [
         (Entry::Ready, Reachability::Refused, Crashed),
@@ -255,7 +255,7 @@
     }
 }
 
-/// The endpoints granted at `now`, by request.
+/// Returns the endpoints granted at `now`, by request.
 fn granted(pool: &mut Pool, now: Time) -> Vec<(Key, String)> {
     let mut actions = Vec::new();
     pool.step(now, &mut actions);
@@ -266,7 +266,7 @@
     grants.collect()
 }
 
-/// Repeats of a suspect at several gateways must not end as many endpoints at once.
+/// Copies of a suspect at several gateways must not crash several endpoints at once.
 #[gtest]
 fn ask_suspect_twice() {
     let mut pool = pool(4);
@@ -280,7 +280,7 @@
     expect_that!(granted(&mut pool, at(50)), len(eq(1)));
 }
 
-/// Two suspects at one endpoint could not be told apart when it ends.
+/// Two suspects at the same endpoint could not be told apart after a crash.
 #[gtest]
 fn ask_suspects_apart() {
     let mut pool = pool(3);
@@ -296,10 +296,10 @@
     expect_that!(places, elements_are![eq("e0"), eq("e1"), eq("e2")]);
 }
 
-/// Each endpoint that a killer ends until all nodes know of it is missed by everybody
-/// else: after its second crash a request rests, and longer after each further one.
+/// Each endpoint that a killer crashes before all nodes have its verdict is lost to other
+/// requests: from the second crash on, the request is held back, longer after each crash.
 #[gtest]
-fn release_crashed_rests() {
+fn release_crashed_backoff() {
     let mut pool = pool(4);
     let mut actions = Vec::new();
     let mut now = 0;
@@ -318,7 +318,8 @@
     }
 }
 
-/// What ran beside a killer is served on at once, though no gateway knows of it yet.
+/// A request that ran beside a killer is granted again immediately, although no gateway has
+/// identified the killer yet.
 #[gtest]
 fn release_crashed_neighbours() {
     let mut pool = pool(2);
--- a/tests/quarantine_explore.rs
+++ b/tests/quarantine_explore.rs
@@ -1,7 +1,7 @@
-//! Explores how many endpoints a request ends that crashes whatever runs it, and whom
-//! else the fleet takes for one, with crashes, lost answers, restarts and cuts.
+//! Measures how many endpoints a request crashes before it is refused, and whether harmless
+//! requests are condemned, under crashes, lost answers, restarts and partitions.
 //!
-//! `AUBURNSPOKE_SEEDS` sets how many schedules are played.
+//! `AUBURNSPOKE_SEEDS` sets the number of simulated schedules.
 
 #[path = "quarantine_explore/fleet.rs"]
 mod fleet;
@@ -11,19 +11,19 @@
 use rand::{Rng as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
 
-/// Schedules that are played when nothing else is said.
-const SEEDS: u64 = 40;
-/// Runs that a known killer may still get.
-const MORE: usize = 3;
+/// Default number of schedules.
+const DEFAULT_SEEDS: u64 = 40;
+/// Runs that a killer may still get after its verdict.
+const MAX_LATE_RUNS: usize = 3;
 
 fn seeds() -> u64 {
     std::env::var("AUBURNSPOKE_SEEDS")
         .ok()
         .and_then(|text| text.parse().ok())
-        .unwrap_or(SEEDS)
+        .unwrap_or(DEFAULT_SEEDS)
 }
 
-/// A schedule out of a seed.
+/// Generates a schedule from a seed.
 fn plan(seed: u64, nodes: usize, without: Without) -> Plan {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let endpoints = (nodes * 3 / 4).clamp(4, 71);
@@ -72,41 +72,47 @@
 
 fn summary(outcomes: &[Outcome]) -> String {
     let ended = ended(outcomes);
-    let broken = outcomes.iter().filter(|it| late(it) > MORE).count();
-    let wronged: usize = outcomes.iter().map(|it| it.wronged.len()).sum();
-    let asked: usize = outcomes.iter().map(|it| it.asked).sum();
-    let served: usize = outcomes.iter().map(|it| it.served).sum();
+    let broken = outcomes
+        .iter()
+        .filter(|it| late(it) > MAX_LATE_RUNS)
+        .count();
+    let wronged: usize = outcomes.iter().map(|it| it.condemned.len()).sum();
+    let asked: usize = outcomes.iter().map(|it| it.sent).sum();
+    let served: usize = outcomes.iter().map(|it| it.completed).sum();
     format!(
-        "ended a killer: median {} most {}; schedules with more than {MORE} late runs: {broken}; \
+        "ended a killer: median {} most {}; schedules with more than {MAX_LATE_RUNS} late runs: {broken}; \
          wronged {wronged}; served {served} of {asked}",
         ended[ended.len() / 2],
         ended[ended.len() - 1],
     )
 }
 
-/// A known killer is sent to hardly anything any more, and nobody else is taken for one.
+/// A condemned killer gets hardly any further runs, and no harmless request is condemned.
 #[gtest]
 fn explore_small() {
     let outcomes = all(12, Without::Nothing);
     println!("12 nodes: {}", summary(&outcomes));
     for (seed, outcome) in outcomes.iter().enumerate() {
-        expect_that!(late(outcome), le(MORE), "seed {seed}: {outcome:?}");
-        expect_that!(outcome.wronged, is_empty(), "seed {seed}");
+        expect_that!(late(outcome), le(MAX_LATE_RUNS), "seed {seed}: {outcome:?}");
+        expect_that!(outcome.condemned, is_empty(), "seed {seed}");
     }
 }
 
-/// The same before 88 nodes.
+/// The same in front of 88 nodes.
 #[gtest]
 fn explore_many_nodes() {
     for seed in 0..seeds().div_ceil(8) {
         let outcome = play(seed, 88, Without::Nothing);
-        expect_that!(late(&outcome), le(MORE), "seed {seed}: {outcome:?}");
-        expect_that!(outcome.wronged, is_empty(), "seed {seed}");
+        expect_that!(
+            late(&outcome),
+            le(MAX_LATE_RUNS),
+            "seed {seed}: {outcome:?}"
+        );
+        expect_that!(outcome.condemned, is_empty(), "seed {seed}");
     }
 }
 
-/// On days on which endpoints crash by themselves and answers are lost, nobody is
-/// condemned.
+/// Where endpoints crash for other reasons and answers are lost, no request is condemned.
 #[gtest]
 fn explore_no_killers() {
     for seed in 0..seeds() {
@@ -117,19 +123,20 @@
             ..plan(seed, 12, Without::Nothing)
         };
         let outcome = Fleet::new(plan, seed).play();
-        expect_that!(outcome.wronged, is_empty(), "seed {seed}");
+        expect_that!(outcome.condemned, is_empty(), "seed {seed}");
     }
 }
 
 fn wrongs(outcomes: &[Outcome]) -> usize {
-    outcomes.iter().map(|it| it.wronged.len()).sum()
+    outcomes.iter().map(|it| it.condemned.len()).sum()
 }
 
 fn total(outcomes: &[Outcome]) -> usize {
     ended(outcomes).iter().sum()
 }
 
-/// Were each node to know only of its own runs, the pool alone would hold killers back.
+/// Without notes each node has only its own runs as evidence, and the pool alone holds killers
+/// back.
 #[gtest]
 fn explore_without_notes() {
     let with = all(12, Without::Nothing);
@@ -138,7 +145,7 @@
     expect_that!(total(&outcomes), gt(total(&with)));
 }
 
-/// When all nodes start anew, the store alone knows who crashes endpoints.
+/// After a restart of all nodes only the store still has the verdicts.
 #[gtest]
 fn explore_without_store() {
     let with = all(12, Without::Nothing);
@@ -147,8 +154,8 @@
     expect_that!(total(&outcomes), gt(total(&with)));
 }
 
-/// Suspects that run together, and several times at once, end more endpoints before
-/// it is known which it was.
+/// Suspects that run together, and several times at once, crash more endpoints before the
+/// killer is identified.
 #[gtest]
 fn explore_without_suspects() {
     let with = all(12, Without::Nothing);
@@ -157,7 +164,7 @@
     expect_that!(total(&outcomes), gt(total(&with)));
 }
 
-/// Whoever runs often is at three endpoints that end, sooner or later.
+/// A frequent request sooner or later runs on three endpoints that crash.
 #[gtest]
 fn explore_without_explaining() {
     let outcomes = all(12, Without::Explaining);
@@ -175,7 +182,7 @@
     Fleet::new(plan, seed).play()
 }
 
-/// On days without killers, what runs well in between speaks for a request.
+/// Without killers, completed runs in between clear a request.
 #[gtest]
 fn explore_without_clearing() {
     let play = |seed| calm(seed, 1.0, 0.0, Without::Clearing);
@@ -187,7 +194,7 @@
     expect_that!(wrongs(&outcomes), gt(0));
 }
 
-/// Endpoints that lose answers and live on would have their callers condemned.
+/// Endpoints that lose answers but keep running would get their requests condemned.
 #[gtest]
 fn explore_without_causes() {
     let all = |without| -> Vec<_> {
--- a/tests/quarantine_explore/fleet.rs
+++ b/tests/quarantine_explore/fleet.rs
@@ -1,4 +1,4 @@
-//! Nodes, endpoints and requests in virtual time, with the real evidence and pool.
+//! Simulation of nodes, endpoints and requests in virtual time, with the real evidence and pool.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -15,87 +15,87 @@
 use rand::{Rng as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
 
-/// Step of the virtual time, in milliseconds.
-const STEP: u64 = 10;
-/// How long an endpoint is down after a crash.
-const DOWN: u64 = 3_000;
-/// When its entry goes, and how late a new one shows.
-const ENTRY_GOES: u64 = 3_600;
-/// When killers begin; others ran well before.
-const FIRST_KILLER: u64 = 1_000;
-/// How often verdicts are looked for, and the store's read.
-const TICK: u64 = 100;
-const READ: u64 = 500;
-/// Within which all nodes in touch know of the third crash.
-const CONTACT: u64 = 3_000;
-/// Fingerprints from here on are of requests that harm nothing.
-const INNOCENT: u64 = 1_000_000;
-
-/// A protection that is left out.
+/// Step of the virtual time.
+const STEP_MS: u64 = 10;
+/// Down time of an endpoint after a crash.
+const DOWN_MS: u64 = 3_000;
+/// Time from a crash until the endpoint's entry is removed.
+const ENTRY_REMOVAL_MS: u64 = 3_600;
+/// Time of the first killer; harmless requests run from the start.
+const FIRST_KILLER_MS: u64 = 1_000;
+/// Intervals of the verdicts' evaluation and of the reads of the store.
+const STEP_INTERVAL_MS: u64 = 100;
+const READ_INTERVAL_MS: u64 = 500;
+/// Time within which all connected nodes have the verdict after the third crash.
+const PROPAGATION_MS: u64 = 3_000;
+/// First fingerprint of the harmless requests.
+const FIRST_HARMLESS: u64 = 1_000_000;
+
+/// The protection that a simulation disables.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Without {
     Nothing,
-    /// Nodes tell each other nothing.
+    /// Nodes exchange no observations.
     Notes,
     /// No verdict is stored.
     Store,
-    /// The pool is not told of suspects.
+    /// Requests are not marked as suspects in the pool.
     Suspects,
-    /// Whoever was there three times is to blame.
+    /// Every request that was present at three crashes is condemned.
     Explaining,
     /// A lost answer counts as a crash.
     Causes,
-    /// A run that ends well says nothing for its request.
+    /// A completed run does not clear its request.
     Clearing,
 }
 
-/// What befalls the fleet.
+/// Load and faults of a simulation.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
     pub nodes: usize,
     pub endpoints: usize,
     pub killers: u64,
-    /// Milliseconds between a killer's repeats.
+    /// Milliseconds between two repeats of a killer or a regular request.
     pub gap: u64,
-    /// Requests that harm nothing and are repeated as well.
+    /// Number of harmless requests that are repeated as well.
     pub regulars: u64,
-    /// Requests a second that harm nothing.
+    /// Distinct harmless requests per second.
     pub load: f64,
-    /// Endpoints that crash by themselves, each second.
+    /// Endpoint crashes per second that no request causes.
     pub crashes: f64,
     /// Share of answers that are lost.
     pub lost: f64,
-    /// When all nodes start anew.
+    /// Time at which all nodes restart.
     pub restart: Option<u64>,
-    /// When a third of the nodes is cut off, and for how long.
+    /// Start and length of a partition that cuts off a third of the nodes.
     pub cut: Option<(u64, u64)>,
     pub length: u64,
     pub without: Without,
 }
 
-/// What came of it.
+/// Result of a simulation.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// Endpoints that ended under each killer.
+    /// Endpoints crashed by each killer.
     pub ended: BTreeMap<u64, usize>,
-    /// Runs of each killer by nodes in touch later than they all should know.
+    /// Runs of each killer by connected nodes after all should have its verdict.
     pub late: BTreeMap<u64, usize>,
-    /// Requests that harm nothing and were condemned.
-    pub wronged: BTreeSet<u64>,
-    /// Requests that harm nothing, and those of them that ran to their end.
-    pub asked: usize,
-    pub served: usize,
+    /// Harmless requests that were condemned.
+    pub condemned: BTreeSet<u64>,
+    /// Harmless requests, and those of them that completed.
+    pub sent: usize,
+    pub completed: usize,
 }
 
 #[derive(Default)]
 struct Node {
     evidence: Evidence,
-    /// Counts of the way that blames everybody.
+    /// Crashes by request, for [`Without::Explaining`].
     naive: BTreeMap<u64, BTreeSet<Crash>>,
     unsaved: Vec<Fingerprint>,
-    /// Since when it runs, and since when it is not cut off.
+    /// Time of its start, and of the end of its last partition.
     since: u64,
-    touched: u64,
+    reconnected: u64,
     cut_until: u64,
 }
 
@@ -114,11 +114,11 @@
     began: u64,
     ends: u64,
     attempts: u32,
-    outcome: Fate,
+    outcome: RunEnd,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Fate {
+enum RunEnd {
     Done,
     Lost,
     Crash,
@@ -141,11 +141,11 @@
     pool: Pool,
     runs: Vec<Run>,
     waiting: BTreeMap<Key, Waiting>,
-    mail: Vec<(u64, usize, Observation)>,
+    in_transit: Vec<(u64, usize, Observation)>,
     store: BTreeMap<Fingerprint, u64>,
     seq: u64,
-    next_innocent: u64,
-    /// When each killer crashed an endpoint, and when nodes in touch ran it.
+    next_harmless: u64,
+    /// Times at which each killer crashed an endpoint, and its runs with their nodes.
     crashed: BTreeMap<u64, Vec<u64>>,
     ran: BTreeMap<u64, Vec<(u64, usize)>>,
     outcome: Outcome,
@@ -183,10 +183,10 @@
             pool: Pool::new(seed),
             runs: Vec::new(),
             waiting: BTreeMap::new(),
-            mail: Vec::new(),
+            in_transit: Vec::new(),
             store: BTreeMap::new(),
             seq: 0,
-            next_innocent: 2 * INNOCENT,
+            next_harmless: 2 * FIRST_HARMLESS,
             crashed: BTreeMap::new(),
             ran: BTreeMap::new(),
             outcome: Outcome::default(),
@@ -198,26 +198,26 @@
 
     pub fn play(mut self) -> Outcome {
         while self.now < self.plan.length {
-            self.harm();
+            self.inject_faults();
             self.deliver();
-            self.arrive();
+            self.send_requests();
             self.end_runs();
-            self.revive();
-            self.place();
-            if self.now.is_multiple_of(TICK) {
-                self.classify();
+            self.restart_endpoints();
+            self.grant_places();
+            if self.now.is_multiple_of(STEP_INTERVAL_MS) {
+                self.reach_verdicts();
             }
-            if self.now.is_multiple_of(READ) {
+            if self.now.is_multiple_of(READ_INTERVAL_MS) {
                 self.read_store();
             }
-            self.now += STEP;
+            self.now += STEP_MS;
         }
         self.count();
         self.outcome
     }
 
     fn chance(&mut self, per_second: f64) -> bool {
-        let per_step = per_second * STEP as f64 / 1_000.0;
+        let per_step = per_second * STEP_MS as f64 / 1_000.0;
         self.rng.random_bool(per_step.min(1.0))
     }
 
@@ -232,7 +232,7 @@
         self.pool.set_endpoints(known.iter());
     }
 
-    fn harm(&mut self) {
+    fn inject_faults(&mut self) {
         if self.chance(self.plan.crashes) {
             let place = self.rng.random_range(0..self.places.len());
             self.crash(place, None);
@@ -241,11 +241,11 @@
             for node in &mut self.nodes {
                 *node = Node {
                     since: self.now,
-                    touched: self.now,
+                    reconnected: self.now,
                     ..Node::default()
                 };
             }
-            self.mail.clear();
+            self.in_transit.clear();
         }
         if let Some((from, length)) = self.plan.cut
             && from == self.now
@@ -253,26 +253,29 @@
             let third = self.nodes.len() / 3;
             for node in &mut self.nodes[..third] {
                 node.cut_until = from + length;
-                node.touched = from + length;
+                node.reconnected = from + length;
             }
         }
     }
 
     fn deliver(&mut self) {
         let now = self.now;
-        let due: Vec<_> = self.mail.extract_if(.., |(at, _, _)| *at <= now).collect();
+        let due: Vec<_> = self
+            .in_transit
+            .extract_if(.., |(at, _, _)| *at <= now)
+            .collect();
         for (_, to, observation) in due {
             if self.nodes[to].cut_until <= now
-                && self.learn(to, &observation)
+                && self.apply(to, &observation)
                 && let Observation::Crashed(request, _, _) = observation
             {
-                self.tell(to, &Observation::Completed(request));
+                self.broadcast(to, &Observation::Completed(request));
             }
         }
     }
 
-    /// Takes an observation; true when the node refutes it and tells the others.
-    fn learn(&mut self, at: usize, observation: &Observation) -> bool {
+    /// Applies an observation; returns true when the node refutes it, which it has to report.
+    fn apply(&mut self, at: usize, observation: &Observation) -> bool {
         let now = time(self.now);
         let node = &mut self.nodes[at];
         match observation {
@@ -292,36 +295,36 @@
         }
     }
 
-    fn tell(&mut self, from: usize, observation: &Observation) {
+    fn broadcast(&mut self, from: usize, observation: &Observation) {
         if self.plan.without == Without::Notes || self.nodes[from].cut_until > self.now {
             return;
         }
         for to in (0..self.nodes.len()).filter(|to| *to != from) {
             let at = self.now + self.rng.random_range(20..600);
-            self.mail.push((at, to, observation.clone()));
+            self.in_transit.push((at, to, observation.clone()));
         }
     }
 
-    fn arrive(&mut self) {
+    fn send_requests(&mut self) {
         for killer in 1..=self.plan.killers {
-            if self.now >= FIRST_KILLER && self.now.is_multiple_of(self.plan.gap) {
+            if self.now >= FIRST_KILLER_MS && self.now.is_multiple_of(self.plan.gap) {
                 let node = self.rng.random_range(0..self.nodes.len());
-                self.ask(node, killer, 2, Vec::new());
+                self.acquire(node, killer, 2, Vec::new());
             }
         }
         for regular in 1..=self.plan.regulars {
             if self.now.is_multiple_of(self.plan.gap) {
-                self.outcome.asked += 1;
+                self.outcome.sent += 1;
                 let node = self.rng.random_range(0..self.nodes.len());
-                self.ask(node, INNOCENT + regular, 2, Vec::new());
+                self.acquire(node, FIRST_HARMLESS + regular, 2, Vec::new());
             }
         }
         if self.chance(self.plan.load) {
-            self.next_innocent += 1;
-            self.outcome.asked += 1;
+            self.next_harmless += 1;
+            self.outcome.sent += 1;
             let node = self.rng.random_range(0..self.nodes.len());
-            // Its caller comes again once.
-            self.ask(node, self.next_innocent, 4, Vec::new());
+            // The caller retries.
+            self.acquire(node, self.next_harmless, 4, Vec::new());
         }
     }
 
@@ -338,7 +341,7 @@
         node.evidence.status(time(self.now), Fingerprint(request))
     }
 
-    fn ask(
+    fn acquire(
         &mut self,
         node: usize,
         request: u64,
@@ -347,18 +350,18 @@
     ) {
         let status = self.status(node, request);
         if status == Status::Condemned {
-            if request > INNOCENT {
-                self.outcome.wronged.insert(request);
+            if request > FIRST_HARMLESS {
+                self.outcome.condemned.insert(request);
             }
             return;
         }
-        let tells = self.plan.without != Without::Suspects;
+        let marks_suspects = self.plan.without != Without::Suspects;
         self.seq += 1;
         let key = Key {
             gateway: SocketAddr::from(([10, 0, 0, 1], u16::try_from(node).unwrap())),
             seq: self.seq,
         };
-        let ask = Requirements {
+        let requirements = Requirements {
             class: Class::Online,
             priority: 0,
             zone: "z".into(),
@@ -367,7 +370,7 @@
             prefix: 0,
             organisation: 0,
             request: Fingerprint(request),
-            suspect: tells && status != Status::Clear,
+            suspect: marks_suspects && status != Status::Clear,
             avoid: avoid.clone(),
         };
         let waiting = Waiting {
@@ -379,11 +382,12 @@
         };
         self.waiting.insert(key, waiting);
         let mut actions = Vec::new();
-        self.pool.acquire(time(self.now), key, ask, &mut actions);
+        self.pool
+            .acquire(time(self.now), key, requirements, &mut actions);
         self.act(actions);
     }
 
-    fn place(&mut self) {
+    fn grant_places(&mut self) {
         let now = self.now;
         let late = self.waiting.iter().filter(|(_, it)| it.until <= now);
         let late: Vec<Key> = late.map(|(key, _)| *key).collect();
@@ -424,21 +428,21 @@
             if !stops {
                 let mut avoid = waiting.avoid;
                 avoid.push(endpoint.id.clone());
-                self.ask(waiting.node, waiting.request, waiting.attempts, avoid);
+                self.acquire(waiting.node, waiting.request, waiting.attempts, avoid);
             }
             return;
         };
-        let is_killer = waiting.request < INNOCENT;
+        let is_killer = waiting.request < FIRST_HARMLESS;
         if is_killer {
             let ran = self.ran.entry(waiting.request).or_default();
             ran.push((self.now, waiting.node));
         }
         let (length, outcome) = if is_killer {
-            (self.rng.random_range(40..150), Fate::Crash)
+            (self.rng.random_range(40..150), RunEnd::Crash)
         } else if self.rng.random_bool(self.plan.lost) {
-            (self.rng.random_range(20..400), Fate::Lost)
+            (self.rng.random_range(20..400), RunEnd::Lost)
         } else {
-            (self.rng.random_range(200..700), Fate::Done)
+            (self.rng.random_range(200..700), RunEnd::Done)
         };
         self.runs.push(Run {
             node: waiting.node,
@@ -457,15 +461,15 @@
         let due: Vec<Run> = self.runs.extract_if(.., |run| run.ends <= now).collect();
         for run in due {
             match run.outcome {
-                Fate::Done => self.done(&run),
-                Fate::Lost => {
+                RunEnd::Done => self.complete(&run),
+                RunEnd::Lost => {
                     self.pool.release(time(now), run.key, End::Error);
                     if self.plan.without == Without::Causes {
                         self.observe(&run);
                     }
                     self.retry(&run);
                 }
-                Fate::Crash => {
+                RunEnd::Crash => {
                     let place = run.place;
                     self.runs.push(run);
                     self.crash(place, Some(now));
@@ -474,18 +478,18 @@
         }
     }
 
-    fn done(&mut self, run: &Run) {
-        self.outcome.served += 1;
+    fn complete(&mut self, run: &Run) {
+        self.outcome.completed += 1;
         self.pool.release(time(self.now), run.key, End::Done);
         let request = Fingerprint(run.request);
         if self.plan.without == Without::Clearing {
             return;
         }
-        let sound = Observation::Completed(request);
+        let completed = Observation::Completed(request);
         let node = &mut self.nodes[run.node];
         node.naive.remove(&run.request);
         if node.evidence.add_completion(time(self.now), request) {
-            self.tell(run.node, &sound);
+            self.broadcast(run.node, &completed);
         }
     }
 
@@ -495,7 +499,7 @@
             endpoint: place.endpoint.id.clone(),
             incarnation: place.endpoint.incarnation,
         };
-        // Without a look at its cause each lost answer seems an end of its own.
+        // Without the check of its cause, each lost answer looks like a separate crash.
         let crash = match self.plan.without {
             Without::Causes => Crash {
                 incarnation: self.now,
@@ -505,8 +509,8 @@
         };
         let stage = Stage::of(Duration::from_millis(self.now - run.began));
         let observation = Observation::Crashed(Fingerprint(run.request), crash, stage);
-        if !self.learn(run.node, &observation) {
-            self.tell(run.node, &observation);
+        if !self.apply(run.node, &observation) {
+            self.broadcast(run.node, &observation);
         }
         self.nodes[run.node].evidence.update_blame(time(self.now));
     }
@@ -516,11 +520,11 @@
             return;
         }
         self.places[place].up = false;
-        self.places[place].back = self.now + DOWN;
-        self.places[place].gone = self.now + ENTRY_GOES;
+        self.places[place].back = self.now + DOWN_MS;
+        self.places[place].gone = self.now + ENTRY_REMOVAL_MS;
         let hit: Vec<Run> = self.runs.extract_if(.., |run| run.place == place).collect();
         for run in &hit {
-            if by_killer.is_some() && run.request < INNOCENT && run.ends <= self.now {
+            if by_killer.is_some() && run.request < FIRST_HARMLESS && run.ends <= self.now {
                 self.crashed.entry(run.request).or_default().push(self.now);
             }
             let end = match self.plan.without {
@@ -528,7 +532,7 @@
                 _ => End::Crashed,
             };
             self.pool.release(time(self.now), run.key, end);
-            // A process that started since knows nothing of the run.
+            // A node that has restarted since has no record of the run.
             if self.nodes[run.node].since <= run.began {
                 self.observe(run);
             }
@@ -541,11 +545,11 @@
     fn retry(&mut self, run: &Run) {
         if run.attempts > 1 && self.nodes[run.node].since <= run.began {
             let avoid = vec![self.places[run.place].endpoint.id.clone()];
-            self.ask(run.node, run.request, run.attempts - 1, avoid);
+            self.acquire(run.node, run.request, run.attempts - 1, avoid);
         }
     }
 
-    fn revive(&mut self) {
+    fn restart_endpoints(&mut self) {
         let now = self.now;
         let mut changed = false;
         for (at, place) in self.places.iter_mut().enumerate() {
@@ -564,7 +568,7 @@
         }
     }
 
-    fn classify(&mut self) {
+    fn reach_verdicts(&mut self) {
         let now = self.now;
         for node in &mut self.nodes {
             let reached = node.evidence.step(time(now));
@@ -599,16 +603,18 @@
             };
             let in_touch = |(at, node): &&(u64, usize)| {
                 let cut = self.plan.cut.is_some_and(|(from, length)| {
-                    *node < self.nodes.len() / 3 && *at >= from && *at < from + length + CONTACT
+                    *node < self.nodes.len() / 3
+                        && *at >= from
+                        && *at < from + length + PROPAGATION_MS
                 });
                 let started = self
                     .plan
                     .restart
-                    .is_some_and(|restart| *at >= restart && *at < restart + CONTACT);
+                    .is_some_and(|restart| *at >= restart && *at < restart + PROPAGATION_MS);
                 !cut && !started
             };
             let late = self.ran[killer].iter().filter(in_touch);
-            let late = late.filter(|(at, _)| *at > third + CONTACT).count();
+            let late = late.filter(|(at, _)| *at > third + PROPAGATION_MS).count();
             self.outcome.late.insert(*killer, late);
         }
     }
--- a/tests/trace_verdict.rs
+++ b/tests/trace_verdict.rs
@@ -1,4 +1,4 @@
-//! From a request's id to its cause, with logs alone.
+//! Traces a request from its id to the cause of its outcome, from logs alone.
 
 use auburnspoke::cli::trace::{gather, verdict};
 use googletest::prelude::*;
@@ -18,15 +18,15 @@
 ";
 
 fn files() -> Vec<(String, String)> {
-    // Logs are given in any order.
+    // Log files may be given in any order.
     vec![
         ("n2.log".into(), SECOND.into()),
         ("n1.log".into(), FIRST.into()),
     ]
 }
 
-/// A clerk complains of a slow answer: the chain shows the endpoint that was
-/// silent, where the request went then, and that it was answered whole.
+/// A slow answer: the trace shows the endpoint that was silent, where the request was sent
+/// next, and that it was answered completely.
 #[gtest]
 fn gather_resumed_request() {
     let lines = gather("a1", &files());
@@ -37,8 +37,8 @@
     );
 }
 
-/// A retry and its refusal were written within one millisecond; sorted by their
-/// text the refusal would come before its cause.
+/// A retry and its refusal are logged within the same millisecond; sorted by text, the refusal
+/// would come before its cause.
 #[gtest]
 fn gather_same_millisecond() {
     let log = "T1 INFO  E302 request_retried id=a why=broken next=Refuse\n\
@@ -56,8 +56,8 @@
     );
 }
 
-/// A kitchen's sheet is missing: its item leads to the job that it belongs to,
-/// and to why it was given up.
+/// A missing result: its item leads to the job that it belongs to, and to the reason why it
+/// was given up.
 #[gtest]
 fn gather_failed_item() {
     let lines = gather("t1", &files());
