--- a/src/permit.rs
+++ b/src/permit.rs
@@ -26,7 +26,7 @@
 use crate::limit::meter::Meter;
 use crate::member::View;
 use crate::name::Name;
-use crate::pool::message::{Class, End, Hold, MAX_DATAGRAM, Question, Reply, Requirements, Word};
+use crate::pool::message::{Body, Class, End, MAX_DATAGRAM, Renewal, Reply, Request, Requirements};
 use crate::pool::shard;
 use crate::snapshot::Cell;
 use crate::wire;
@@ -99,7 +99,7 @@
 
 struct Held {
     pool: Name,
-    hold: Hold,
+    renewal: Renewal,
     due: Time,
     stop: Rc<Notify>,
     owner: Option<SocketAddr>,
@@ -159,7 +159,7 @@
     /// it as long if only their ends told.
     pub fn mark_answering(&self) {
         if let Some(held) = self.desk.held.borrow_mut().get_mut(&self.seq) {
-            held.hold.answering = true;
+            held.renewal.answering = true;
         }
     }
 
@@ -221,7 +221,7 @@
             let point = want.requirements.request.0;
             (shard::choose(&shards, point, None), point)
         } else {
-            let first = shard::prefer(&shards, &want.requirements.zone, rand::random());
+            let first = shard::choose_near(&shards, &want.requirements.zone, rand::random());
             (first, rand::random())
         };
         let first = first.unwrap_or(want.service.clone());
@@ -278,7 +278,7 @@
         let stop = Rc::new(Notify::new());
         let held = Held {
             pool: pool.clone(),
-            hold: Hold {
+            renewal: Renewal {
                 seq,
                 endpoint: granted.endpoint.id.clone(),
                 class,
@@ -342,22 +342,22 @@
             return;
         };
         self.owners.borrow_mut().heard(from);
-        match reply.word {
-            Word::Stop => {
+        match reply.body {
+            Body::Stop => {
                 if let Some(held) = self.held.borrow().get(&reply.seq) {
                     held.stop.notify_one();
                 }
             }
-            Word::Queued => self.queued(from, reply.seq),
-            Word::Refuse { retry_after } => {
+            Body::Queued => self.queued(from, reply.seq),
+            Body::Refuse { retry_after } => {
                 if let Some(waiting) = self.waiting.borrow_mut().remove(&reply.seq) {
                     let _ = waiting.reply.send(Err(Refusal::Busy(retry_after)));
                 }
             }
             // That it answers is all it says.
-            Word::Here => {}
-            Word::Counted(verdict) => self.counted(now, from, reply.seq, verdict),
-            Word::Grant { endpoint, address } => {
+            Body::Alive => {}
+            Body::Counted(verdict) => self.counted(now, from, reply.seq, verdict),
+            Body::Grant { endpoint, address } => {
                 self.granted(now, from, reply.seq, &endpoint, address);
             }
         }
@@ -433,7 +433,7 @@
     fn probe(&self, now: Time) {
         let due = self.owners.borrow_mut().probes(now);
         for owner in due {
-            self.send(owner, &Question::Probe);
+            self.send(owner, &Request::Probe);
         }
     }
 
--- a/src/permit/alone.rs
+++ b/src/permit/alone.rs
@@ -51,7 +51,7 @@
         let held = self.held.borrow();
         let used = |id: &Name| {
             held.values()
-                .filter(|held| held.hold.endpoint == *id)
+                .filter(|held| held.renewal.endpoint == *id)
                 .count()
         };
         let best = catalog
--- a/src/permit/count.rs
+++ b/src/permit/count.rs
@@ -20,7 +20,7 @@
 use crate::limit::coordinator::{self, Answer, Decision};
 use crate::limit::{self, Rate};
 use crate::name::Name;
-use crate::pool::message::Question;
+use crate::pool::message::Request;
 
 /// After so many silent keepers this node decides by itself. What it lets through
 /// comes on top of what a keeper does that others still reach.
@@ -236,11 +236,11 @@
             version: *version,
             hint,
         };
-        self.send(keeper, &Question::Count { seq, count });
+        self.send(keeper, &Request::Count { seq, count });
     }
 
     fn send_back(&self, keeper: SocketAddr, seq: u64, limited: &Limited) {
         let organisation = limited.organisation.name.clone();
-        self.send(keeper, &Question::Back { seq, organisation });
+        self.send(keeper, &Request::Refund { seq, organisation });
     }
 }
--- a/src/permit/post.rs
+++ b/src/permit/post.rs
@@ -7,26 +7,26 @@
 use crate::clock::Time;
 use crate::event;
 use crate::name::Name;
-use crate::pool::message::{End, HOLDS, Hold, Question};
+use crate::pool::message::{End, MAX_RENEWALS, Renewal, Request};
 use crate::pool::shard;
 use crate::wire;
 
 impl Broker {
     pub(super) fn mention(&self, now: Time) {
-        let mut by_pool: BTreeMap<Name, Vec<Hold>> = BTreeMap::new();
+        let mut by_pool: BTreeMap<Name, Vec<Renewal>> = BTreeMap::new();
         for held in self.held.borrow().values() {
-            let mut hold = held.hold.clone();
-            hold.due = held.due.since(now);
-            by_pool.entry(held.pool.clone()).or_default().push(hold);
+            let mut renewal = held.renewal.clone();
+            renewal.due = held.due.since(now);
+            by_pool.entry(held.pool.clone()).or_default().push(renewal);
         }
-        for (pool, holds) in by_pool {
+        for (pool, renewals) in by_pool {
             let Some(owner) = self.owners.borrow_mut().owner(&pool) else {
                 continue;
             };
-            for some in holds.chunks(HOLDS) {
-                let question = Question::Holds {
+            for some in renewals.chunks(MAX_RENEWALS) {
+                let question = Request::Renew {
                     pool: pool.clone(),
-                    holds: some.to_vec(),
+                    renewals: some.to_vec(),
                 };
                 self.send(owner, &question);
             }
@@ -66,7 +66,7 @@
 
     pub(super) fn send_release(&self, owner: SocketAddr, seq: u64, pool: &Name, end: End) {
         let pool = pool.clone();
-        self.send(owner, &Question::Release { pool, seq, end });
+        self.send(owner, &Request::Release { pool, seq, end });
     }
 
     pub(super) fn send_ask(&self, now: Time, seq: u64, waiting: &mut Waiting) {
@@ -82,7 +82,7 @@
         let pool = waiting.pool.clone();
         self.send(
             owner,
-            &Question::Acquire {
+            &Request::Acquire {
                 pool,
                 seq,
                 requirements,
@@ -90,7 +90,7 @@
         );
     }
 
-    pub(super) fn send(&self, owner: SocketAddr, question: &Question) {
+    pub(super) fn send(&self, owner: SocketAddr, question: &Request) {
         match wire::encode(question) {
             // What does not fit into the socket's buffer is lost like any other
             // datagram; it is repeated.
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -1,15 +1,15 @@
-//! Admission to the endpoints of one service, as a decision.
+//! Admission control for the endpoints of one service, without I/O.
 //!
-//! One node at a time keeps the pool of a service: every slot of every
-//! endpoint, who holds it, and who waits. Gateways ask for a place and send the
-//! request to the endpoint themselves. All state is soft: gateways repeat what
-//! they hold, and whatever is not repeated is forgotten. Two pools at once, or
-//! none, cost time and never correctness. docs/design/admission.md weighs the
-//! ways.
+//! One node at a time owns the pool of a service: every slot of every endpoint,
+//! the permits that hold slots, and the waiting requests. Gateways acquire a
+//! permit for a slot and send the request to the endpoint themselves. All state
+//! is soft: gateways renew their permits, and permits that are not renewed
+//! expire. Two pools at once, or none, cost time but never correctness.
+//! docs/design/admission.md compares the alternatives.
 //!
-//! The load that it answers: online requests come in peaks of some twice their
-//! mean, and batch work has seconds to wait. Batch takes every free slot, and
-//! is stopped in the same step in which an online request finds none free.
+//! Online requests arrive in peaks of about twice their mean, whereas batch work
+//! can wait for seconds. So batch work takes every free slot, and is preempted
+//! in the same step in which an online request finds none free.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -21,69 +21,69 @@
 use crate::quarantine::Fingerprint;
 
 pub mod action;
+mod candidate;
 mod fault;
 mod grant;
 pub mod message;
-mod place;
 pub mod serve;
 pub mod shard;
 mod suspect;
 
-pub use action::{Action, Gauge, Judgement, Key};
-use message::{Class, End, Hold, Requirements};
-use place::Place;
+pub use action::{Action, Gauge, Key, Transition};
+use candidate::Candidate;
+use message::{Class, End, Renewal, Requirements};
 use suspect::Suspects;
 
-/// A permit that its gateway does not mention for so long is free again: the
-/// gateway is gone. Gateways mention what they hold every 400 ms.
-const FORGET_PERMIT: Duration = Duration::from_millis(1_700);
-/// A gateway that still wants a place for an online request asks again every
+/// Time after which a permit that is not renewed expires, because its gateway is
+/// gone. Gateways renew their permits every 400 ms.
+const PERMIT_TTL: Duration = Duration::from_millis(1_700);
+/// Time after which a waiting online request expires. Gateways repeat them every
 /// 100 ms.
-const FORGET_ONLINE: Duration = Duration::from_millis(600);
-/// The same for batch items, every second.
-const FORGET_BATCH: Duration = Duration::from_secs(3);
-/// How often what nobody mentions is looked for. In between the slots in use
-/// are counted as they change: a pool of 500 slots decides on some 1,000
-/// messages a second, and to count them all each time took most of a small
-/// VM's processor.
-const SWEEP: Duration = Duration::from_millis(100);
-/// A stop is sent again until it is obeyed: datagrams get lost.
-const STOP_AGAIN: Duration = Duration::from_millis(25);
-/// A stopped run ends within a few milliseconds; after this the slot is taken
-/// for busy again.
-const STOP_EXPECTED: Duration = Duration::from_millis(200);
-/// A pool that starts hears of what others hold within this time; until then it
-/// gives batch work nothing.
-const LEARN: Duration = Duration::from_millis(400);
-/// Weight of the newest value in the mean time that online requests hold a slot.
-const HOLD_WEIGHT: f64 = 0.05;
-/// The mean hold before any was seen.
-const FIRST_HOLD: Duration = Duration::from_millis(700);
-/// One of so many slots is kept free of batch work, so that a single online
-/// request starts without stopping anything.
-const RESERVE_ONE_IN: u32 = 32;
-/// Most asks that may wait; above it each further one is refused.
+const ONLINE_WAIT_TTL: Duration = Duration::from_millis(600);
+/// Time after which a waiting batch item expires. Gateways repeat them every second.
+const BATCH_WAIT_TTL: Duration = Duration::from_secs(3);
+/// Interval between sweeps for expired entries, which also recount the used slots.
+/// Between sweeps the counts are updated incrementally: a pool of 500 slots handles
+/// about 1,000 messages per second, and a recount for each of them used most of a
+/// small VM's CPU.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval at which a stop is resent until the run ends, since datagrams get lost.
+const STOP_RETRY: Duration = Duration::from_millis(25);
+/// Time after which the slot of a run that did not stop counts as used again. A
+/// stopped run usually ends within a few milliseconds.
+const STOP_TIMEOUT: Duration = Duration::from_millis(200);
+/// Time after its start within which a pool receives renewals of all permits that
+/// gateways hold. Until then it grants no batch work.
+const LEARNING_TIME: Duration = Duration::from_millis(400);
+/// Weight of a new sample in the mean time that online requests hold a slot.
+const MEAN_HOLD_WEIGHT: f64 = 0.05;
+/// Initial value of that mean.
+const INITIAL_MEAN_HOLD: Duration = Duration::from_millis(700);
+/// One in this many slots is reserved for online requests, so that a single one
+/// starts without preempting batch work.
+const RESERVE_DIVISOR: u32 = 32;
+/// Maximum number of waiting requests of each class; further ones are refused.
 const MAX_WAITING: usize = 4_096;
-/// Shortest time after which a refused request should come back: less than a
-/// seventh of the time that a slot is held frees next to nothing.
-const RETRY_MIN: Duration = Duration::from_millis(100);
-/// Longest time after which it should: about the length of a peak.
-const RETRY_MAX: Duration = Duration::from_secs(2);
+/// Minimum retry delay. In less than a seventh of the time that a slot is held,
+/// almost no slots become free.
+const MIN_RETRY: Duration = Duration::from_millis(100);
+/// Maximum retry delay, about the length of a load peak.
+const MAX_RETRY: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Debug)]
 struct Permit {
     endpoint: Name,
     class: Class,
-    /// Whose work it is, 0 for nobody's.
+    /// Hash of the organisation, or 0 for none.
     organisation: u64,
     request: Fingerprint,
     /// When the work is due.
     due: Time,
     granted: Time,
-    mentioned: Time,
-    /// True once the endpoint is known to answer it.
+    renewed: Time,
+    /// True once the endpoint has started to answer.
     answering: bool,
-    /// When it was told to stop, and last told so.
+    /// When the first and the last stop were sent, if any.
     stopping: Option<(Time, Time)>,
 }
 
@@ -91,29 +91,29 @@
 struct Waiting {
     requirements: Requirements,
     arrived: Time,
-    heard: Time,
+    renewed: Time,
     due: Time,
 }
 
 /// The pool of one service.
 #[derive(Debug)]
 pub struct Pool {
-    /// Decides between endpoints that are equally good.
+    /// Seed of the tie-break between endpoints with equal scores.
     salt: u64,
     started: Option<Time>,
-    places: BTreeMap<Name, Place>,
+    candidates: BTreeMap<Name, Candidate>,
     permits: BTreeMap<Key, Permit>,
     online: Vec<(Key, Waiting)>,
     batch: Vec<(Key, Waiting)>,
     suspects: Suspects,
-    hold: Duration,
-    /// Spreads the return of refused requests.
+    mean_hold: Duration,
+    /// Counter that spreads the retries of refused requests.
     refused: u32,
-    swept: Time,
-    /// Asks that came since the last step.
-    fresh: Vec<Key>,
-    /// What came to be believed of endpoints since the last step.
-    judged: Vec<Judgement>,
+    last_sweep: Time,
+    /// Requests queued since the last step.
+    newly_queued: Vec<Key>,
+    /// Health transitions of endpoints since the last step.
+    transitions: Vec<Transition>,
 }
 
 impl Default for Pool {
@@ -123,51 +123,51 @@
 }
 
 impl Pool {
-    /// A pool without endpoints. Each has a `salt` of its own: when all nodes
-    /// have restarted, each keeps a pool until it has found the others, and if
-    /// all of these took equally good endpoints in the same order, the first ones
-    /// would get a request of every node and the last ones none.
+    /// Creates a pool without endpoints. Each pool has its own `salt`: after a restart
+    /// of all nodes, each node runs a pool until it has discovered the others. If all
+    /// of them ordered endpoints with equal scores alike, the first endpoints would
+    /// get a request of every node and the last ones none.
     pub fn new(salt: u64) -> Self {
         Self {
             salt,
             started: None,
-            places: BTreeMap::new(),
+            candidates: BTreeMap::new(),
             permits: BTreeMap::new(),
             online: Vec::new(),
             batch: Vec::new(),
             suspects: Suspects::default(),
-            hold: FIRST_HOLD,
+            mean_hold: INITIAL_MEAN_HOLD,
             refused: 0,
-            swept: Time::ZERO,
-            fresh: Vec::new(),
-            judged: Vec::new(),
+            last_sweep: Time::ZERO,
+            newly_queued: Vec::new(),
+            transitions: Vec::new(),
         }
     }
 
-    /// Takes the endpoints as the catalog now has them.
+    /// Replaces the endpoints by those of the current catalog.
     pub fn set_endpoints<'a, I>(&mut self, endpoints: I)
     where
         I: Iterator<Item = &'a Arc<Endpoint>>,
     {
-        let mut gone: Vec<Name> = self.places.keys().cloned().collect();
+        let mut removed: Vec<Name> = self.candidates.keys().cloned().collect();
         for endpoint in endpoints {
-            gone.retain(|id| *id != endpoint.id);
-            let place = self
-                .places
+            removed.retain(|id| *id != endpoint.id);
+            let candidate = self
+                .candidates
                 .entry(endpoint.id.clone())
-                .or_insert_with(|| Place::new(Arc::clone(endpoint)));
-            if place.renew(endpoint) {
-                // What ran in its earlier process holds no slot of this one.
+                .or_insert_with(|| Candidate::new(Arc::clone(endpoint)));
+            if candidate.update(endpoint) {
+                // Runs of the previous process hold no slots of the new one.
                 self.permits
                     .retain(|_, permit| permit.endpoint != endpoint.id);
             }
         }
-        for id in gone {
-            self.places.remove(&id);
+        for id in removed {
+            self.candidates.remove(&id);
         }
     }
 
-    /// A gateway asks for a place, or asks again.
+    /// Handles a gateway's request for a slot, or a repetition of it.
     pub fn acquire(
         &mut self,
         now: Time,
@@ -180,10 +180,10 @@
             self.suspects.add(now, requirements.request);
         }
         if let Some(permit) = self.permits.get_mut(&key) {
-            // The grant was lost.
-            permit.mentioned = now;
-            if let Some(place) = self.places.get(&permit.endpoint) {
-                actions.push(Action::Grant(key, Arc::clone(&place.endpoint)));
+            // The datagram with the grant was lost.
+            permit.renewed = now;
+            if let Some(candidate) = self.candidates.get(&permit.endpoint) {
+                actions.push(Action::Grant(key, Arc::clone(&candidate.endpoint)));
             }
             return;
         }
@@ -193,85 +193,85 @@
             Class::Batch => &mut self.batch,
         };
         if let Some((_, waiting)) = queue.iter_mut().find(|(other, _)| *other == key) {
-            waiting.heard = now;
+            waiting.renewed = now;
             actions.push(Action::Queued(key));
             return;
         }
         if queue.len() >= MAX_WAITING {
-            actions.push(Action::Refuse(key, RETRY_MAX));
+            actions.push(Action::Refuse(key, MAX_RETRY));
             return;
         }
         let waiting = Waiting {
             arrived: now,
-            heard: now,
+            renewed: now,
             due,
             requirements,
         };
-        self.fresh.push(key);
+        self.newly_queued.push(key);
         let at = match waiting.requirements.class {
             // In order of arrival within a priority.
             Class::Online => queue.partition_point(|(_, other)| {
                 other.requirements.priority <= waiting.requirements.priority
             }),
-            // What is due first goes first.
+            // Earliest deadline first.
             Class::Batch => queue.partition_point(|(_, other)| other.due <= due),
         };
         queue.insert(at, (key, waiting));
     }
 
-    /// A gateway mentions what it holds.
-    pub fn hold(&mut self, now: Time, key: Key, hold: &Hold, actions: &mut Vec<Action>) {
+    /// Renews a permit that a gateway holds.
+    pub fn renew(&mut self, now: Time, key: Key, renewal: &Renewal, actions: &mut Vec<Action>) {
         self.started.get_or_insert(now);
-        if hold.suspect {
-            self.suspects.add(now, hold.request);
+        if renewal.suspect {
+            self.suspects.add(now, renewal.request);
         }
         if let Some(permit) = self.permits.get_mut(&key)
-            && permit.endpoint == hold.endpoint
+            && permit.endpoint == renewal.endpoint
         {
-            permit.mentioned = now;
+            permit.renewed = now;
             if permit.stopping.is_some() {
                 actions.push(Action::Stop(key));
             }
-            if hold.answering && !permit.answering {
+            if renewal.answering && !permit.answering {
                 permit.answering = true;
                 let class = permit.class;
-                self.answered(&hold.endpoint, class);
+                self.record_answer(&renewal.endpoint, class);
             }
             return;
         }
-        // This pool has just begun, or the gateway found the endpoint by itself.
+        // The pool has just started, or the gateway chose the endpoint without it.
         self.online.retain(|(other, _)| *other != key);
         self.batch.retain(|(other, _)| *other != key);
         self.remove_permit(key);
         let permit = Permit {
-            endpoint: hold.endpoint.clone(),
-            class: hold.class,
-            organisation: hold.organisation,
-            request: hold.request,
-            due: now + hold.due,
+            endpoint: renewal.endpoint.clone(),
+            class: renewal.class,
+            organisation: renewal.organisation,
+            request: renewal.request,
+            due: now + renewal.due,
             granted: now,
-            mentioned: now,
-            answering: hold.answering,
+            renewed: now,
+            answering: renewal.answering,
             stopping: None,
         };
-        if let Some(place) = self.places.get_mut(&permit.endpoint) {
-            place.add(permit.class);
+        if let Some(candidate) = self.candidates.get_mut(&permit.endpoint) {
+            candidate.occupy(permit.class);
         }
         self.permits.insert(key, permit);
     }
 
-    /// Takes a permit out, and out of its endpoint's count.
+    /// Removes a permit and frees its slot.
     fn remove_permit(&mut self, key: Key) -> Option<Permit> {
         let permit = self.permits.remove(&key)?;
         if permit.stopping.is_none()
-            && let Some(place) = self.places.get_mut(&permit.endpoint)
+            && let Some(candidate) = self.candidates.get_mut(&permit.endpoint)
         {
-            place.take(permit.class);
+            candidate.vacate(permit.class);
         }
         Some(permit)
     }
 
-    /// A gateway gives a place back, or no longer wants one.
+    /// Releases a permit, or withdraws a waiting request.
     pub fn release(&mut self, now: Time, key: Key, end: End) {
         let Some(permit) = self.remove_permit(key) else {
             self.online.retain(|(other, _)| *other != key);
@@ -282,114 +282,117 @@
             End::Done => {
                 self.suspects.remove(permit.request);
                 if !permit.answering {
-                    self.answered(&permit.endpoint, permit.class);
+                    self.record_answer(&permit.endpoint, permit.class);
                 }
                 if permit.class == Class::Online {
-                    let took = now.since(permit.granted).as_secs_f64();
-                    let mean = self.hold.as_secs_f64();
-                    self.hold = Duration::from_secs_f64(mean + HOLD_WEIGHT * (took - mean));
+                    let held = now.since(permit.granted).as_secs_f64();
+                    let mean = self.mean_hold.as_secs_f64();
+                    self.mean_hold =
+                        Duration::from_secs_f64(mean + MEAN_HOLD_WEIGHT * (held - mean));
                 }
             }
-            End::Error => self.judge(now, &permit),
+            End::Error => self.record_error(now, &permit),
             End::Crashed => {
-                self.suspect_all(now, &permit);
-                self.leave_out(now, &permit.endpoint);
+                self.suspect_running(now, &permit);
+                self.eject(now, &permit.endpoint);
             }
-            End::Failed => self.leave_out(now, &permit.endpoint),
+            End::Failed => self.eject(now, &permit.endpoint),
             End::Full => {
-                if let Some(place) = self.places.get_mut(&permit.endpoint) {
-                    place.full(now);
+                if let Some(candidate) = self.candidates.get_mut(&permit.endpoint) {
+                    candidate.pause_full(now);
                 }
             }
             End::Left | End::Stopped => {}
         }
     }
 
-    /// An endpoint's process ended: whatever ran there may have ended it.
-    fn suspect_all(&mut self, now: Time, ended: &Permit) {
-        self.suspects.crashed(now, ended.request);
+    /// Marks everything that ran on a crashed endpoint as suspect, since any of it may
+    /// have caused the crash.
+    fn suspect_running(&mut self, now: Time, ended: &Permit) {
+        self.suspects.add_crash(now, ended.request);
         let there = self.permits.values();
         for permit in there.filter(|permit| permit.endpoint == ended.endpoint) {
             self.suspects.add(now, permit.request);
         }
     }
 
-    /// An endpoint answers.
-    fn answered(&mut self, endpoint: &Name, class: Class) {
-        if let Some(place) = self.places.get_mut(endpoint)
-            && place.succeeded(class)
+    /// Records a good answer of an endpoint.
+    fn record_answer(&mut self, endpoint: &Name, class: Class) {
+        if let Some(candidate) = self.candidates.get_mut(endpoint)
+            && candidate.record_success(class)
         {
             let endpoint = endpoint.clone();
-            self.judged.push(Judgement::Trusted { endpoint });
+            self.transitions.push(Transition::Restored { endpoint });
         }
     }
 
-    /// Gives an endpoint nothing for a while.
-    fn leave_out(&mut self, now: Time, endpoint: &Name) {
-        if let Some(place) = self.places.get_mut(endpoint)
-            && let Some(pause) = place.failed(now)
+    /// Pauses an endpoint after a failure.
+    fn eject(&mut self, now: Time, endpoint: &Name) {
+        if let Some(candidate) = self.candidates.get_mut(endpoint)
+            && let Some(pause) = candidate.pause(now)
         {
-            self.judged.push(Judgement::LeftOut {
+            self.transitions.push(Transition::Ejected {
                 endpoint: endpoint.clone(),
                 pause,
-                strikes: place.strikes(),
-                errors_online: place.errors(Class::Online),
-                errors_batch: place.errors(Class::Batch),
+                strikes: candidate.strikes(),
+                errors_online: candidate.errors(Class::Online),
+                errors_batch: candidate.errors(Class::Batch),
             });
         }
     }
 
-    /// Leaves an endpoint out that fails what others don't.
-    fn judge(&mut self, now: Time, permit: &Permit) {
+    /// Records an error, and ejects the endpoint if its error rate is an outlier.
+    fn record_error(&mut self, now: Time, permit: &Permit) {
         let class = permit.class;
         let mut others: Vec<f64> = self
-            .places
+            .candidates
             .iter()
-            .filter(|(id, place)| **id != permit.endpoint && place.slots() > 0)
-            .map(|(_, place)| place.error_rate(class))
+            .filter(|(id, candidate)| **id != permit.endpoint && candidate.slots() > 0)
+            .map(|(_, candidate)| candidate.error_rate(class))
             .collect();
-        let Some(place) = self.places.get_mut(&permit.endpoint) else {
+        let Some(candidate) = self.candidates.get_mut(&permit.endpoint) else {
             return;
         };
-        place.erred(class);
-        if fault::is_outlier(place.error_rate(class), &mut others) {
-            self.leave_out(now, &permit.endpoint);
+        candidate.record_error(class);
+        if fault::is_outlier(candidate.error_rate(class), &mut others) {
+            self.eject(now, &permit.endpoint);
         }
     }
 
-    /// Decides all that can be decided at `now`.
+    /// Makes all decisions that are possible at `now`.
     pub fn step(&mut self, now: Time, actions: &mut Vec<Action>) {
-        if now.since(self.swept) >= SWEEP {
-            self.swept = now;
+        if now.since(self.last_sweep) >= SWEEP_INTERVAL {
+            self.last_sweep = now;
             self.expire(now);
-            self.count(now);
-            self.repeat_stops(now, actions);
+            self.recount(now);
+            self.resend_stops(now, actions);
         }
         self.serve_online(now, actions);
         self.serve_batch(now, actions);
-        self.confirm(actions);
-        actions.extend(self.judged.drain(..).map(Action::Judged));
+        self.confirm_queued(actions);
+        actions.extend(self.transitions.drain(..).map(Action::HealthChanged));
     }
 
-    /// Tells those whose asks now wait that they are known.
-    fn confirm(&mut self, actions: &mut Vec<Action>) {
-        for key in std::mem::take(&mut self.fresh) {
-            let waits = |queue: &[(Key, Waiting)]| queue.iter().any(|(other, _)| *other == key);
-            if waits(&self.online) || waits(&self.batch) {
+    /// Acknowledges requests that were queued since the last step.
+    fn confirm_queued(&mut self, actions: &mut Vec<Action>) {
+        for key in std::mem::take(&mut self.newly_queued) {
+            let is_waiting =
+                |queue: &[(Key, Waiting)]| queue.iter().any(|(other, _)| *other == key);
+            if is_waiting(&self.online) || is_waiting(&self.batch) {
                 actions.push(Action::Queued(key));
             }
         }
     }
 
-    /// When [`Self::step`] is needed next though nothing arrives.
+    /// True when [`Self::step`] has nothing to do until a message arrives.
     pub fn is_idle(&self) -> bool {
         self.online.is_empty() && self.batch.is_empty() && self.permits.is_empty()
     }
 
-    /// What the tests and a status page look at: slots, permits held, online and batch waiting.
+    /// Returns the totals of the pool, for tests and a status page.
     pub fn gauge(&self) -> Gauge {
         Gauge {
-            slots: self.places.values().map(Place::slots).sum(),
+            slots: self.candidates.values().map(Candidate::slots).sum(),
             held: self.permits.len(),
             online_waiting: self.online.len(),
             batch_waiting: self.batch.len(),
@@ -399,27 +402,27 @@
     fn expire(&mut self, now: Time) {
         self.suspects.expire(now);
         self.permits
-            .retain(|_, permit| now.since(permit.mentioned) < FORGET_PERMIT);
+            .retain(|_, permit| now.since(permit.renewed) < PERMIT_TTL);
         self.online
-            .retain(|(_, waiting)| now.since(waiting.heard) < FORGET_ONLINE);
+            .retain(|(_, waiting)| now.since(waiting.renewed) < ONLINE_WAIT_TTL);
         self.batch
-            .retain(|(_, waiting)| now.since(waiting.heard) < FORGET_BATCH);
+            .retain(|(_, waiting)| now.since(waiting.renewed) < BATCH_WAIT_TTL);
     }
 
-    fn count(&mut self, now: Time) {
-        for place in self.places.values_mut() {
-            place.online = 0;
-            place.batch = 0;
+    fn recount(&mut self, now: Time) {
+        for candidate in self.candidates.values_mut() {
+            candidate.online = 0;
+            candidate.batch = 0;
         }
         for permit in self.permits.values() {
-            let Some(place) = self.places.get_mut(&permit.endpoint) else {
+            let Some(candidate) = self.candidates.get_mut(&permit.endpoint) else {
                 continue;
             };
             match (permit.class, permit.stopping) {
-                (Class::Online, _) => place.online += 1,
-                // Its slot is as good as free.
-                (Class::Batch, Some((since, _))) if now.since(since) < STOP_EXPECTED => {}
-                (Class::Batch, _) => place.batch += 1,
+                (Class::Online, _) => candidate.online += 1,
+                // Its slot is about to become free.
+                (Class::Batch, Some((since, _))) if now.since(since) < STOP_TIMEOUT => {}
+                (Class::Batch, _) => candidate.batch += 1,
             }
         }
     }
--- a/src/pool/action.rs
+++ b/src/pool/action.rs
@@ -1,4 +1,4 @@
-//! What a pool decides and tells.
+//! Decisions of a pool.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,63 +7,62 @@
 use crate::catalog::Endpoint;
 use crate::name::Name;
 
-/// Who asks: a gateway's socket and its number of the request.
+/// Identifies a request: its gateway's socket and the gateway's sequence number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key {
     /// The gateway.
     pub gateway: SocketAddr,
-    /// Its number of the request, never used twice.
+    /// Its sequence number, never reused.
     pub seq: u64,
 }
 
-/// What the pool tells a gateway.
+/// A decision for a gateway, or a health transition.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send the request to this endpoint.
     Grant(Key, Arc<Endpoint>),
-    /// It is known and waits.
+    /// The request is queued.
     Queued(Key),
-    /// It can't be served in its time; come back after this.
+    /// It can't be served in time; retry after this delay.
     Refuse(Key, Duration),
-    /// Stop this batch run; it may ask again.
+    /// Stop this batch run, which may be requested again.
     Stop(Key),
-    /// An endpoint was left out, or is trusted again; for the log.
-    Judged(Judgement),
+    /// An endpoint was ejected or restored; for the log.
+    HealthChanged(Transition),
 }
 
-/// What a pool came to believe of an endpoint.
+/// A health transition of an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Judgement {
-    /// It gets nothing for a while.
-    LeftOut {
+pub enum Transition {
+    /// It gets no requests for a while.
+    Ejected {
         /// The endpoint.
         endpoint: Name,
-        /// For how long.
+        /// How long it is paused.
         pause: Duration,
-        /// How often in a row.
+        /// Number of consecutive ejections.
         strikes: u32,
-        /// The part of its last answers to questions that were errors, in
-        /// thousandths.
+        /// Error rate of its recent answers to online requests, in thousandths.
         errors_online: u32,
         /// The same for batch items.
         errors_batch: u32,
     },
-    /// It gets all of its slots again.
-    Trusted {
+    /// All of its slots are in use again.
+    Restored {
         /// The endpoint.
         endpoint: Name,
     },
 }
 
-/// A pool at a glance.
+/// Totals of a pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Gauge {
-    /// Slots of all endpoints.
+    /// Slots of all endpoints that are ready.
     pub slots: u32,
-    /// Permits that are held.
+    /// Permits held.
     pub held: usize,
-    /// Online requests that wait.
+    /// Waiting online requests.
     pub online_waiting: usize,
-    /// Batch items that wait.
+    /// Waiting batch items.
     pub batch_waiting: usize,
 }
--- a/src/pool/fault.rs
+++ b/src/pool/fault.rs
@@ -1,37 +1,36 @@
-//! Telling an endpoint that fails its requests from requests that fail wherever
-//! they go.
+//! Outlier detection: distinguishes an endpoint that fails its requests from
+//! requests that fail on every endpoint.
 //!
-//! An endpoint may answer errors while its health check is good. It answers
-//! them within milliseconds, so its slots are always free, and placing by load
-//! alone would send it most requests: before a fleet of 71 endpoints, six such
-//! ones drew 7,340 of 21,710 requests. Some batch items can never be done, and
-//! every endpoint answers them with an error; so an endpoint is judged by
-//! comparison with the others.
+//! An endpoint may return errors while its health check passes. It returns them
+//! within milliseconds, so its slots are always free, and balancing by load alone
+//! would send it most requests: in a fleet of 71 endpoints, six such endpoints
+//! attracted 7,340 of 21,710 requests. Some batch items fail on every endpoint, so
+//! an endpoint's error rate is compared with that of the others.
 
 use super::message::Class;
 
-/// Weight of an error in an endpoint's rate, and of a good answer. Three errors
-/// close to each other make an endpoint suspect, and five good answers in a row
-/// make it sound again; one that fails four in ten rarely gets there.
+/// Weights of an error and of a good answer in an endpoint's error rate. Three errors
+/// in quick succession make an endpoint suspect, and five consecutive good answers make
+/// it healthy again, which an endpoint that fails 40% of its requests rarely reaches.
 const ERROR_WEIGHT: f64 = 0.2;
 const GOOD_WEIGHT: f64 = 0.3;
-/// The rate from which an endpoint is suspect. Endpoints that lose six answers
-/// in a hundred fail two in a row every few seconds, and are worth keeping.
-const SUSPECT: f64 = 0.45;
-/// How far above the others a suspect endpoint's rate must be.
-const OTHERS: f64 = 3.0;
-/// The rate below which an endpoint is sound.
-const SOUND: f64 = 0.1;
+/// Error rate from which an endpoint is suspect. Endpoints that lose 6% of their
+/// answers have two consecutive failures every few seconds and must stay in use.
+const SUSPECT_RATE: f64 = 0.45;
+/// Factor by which a suspect endpoint's rate must exceed the median of the others.
+const OUTLIER_FACTOR: f64 = 3.0;
+/// Error rate below which an endpoint is healthy.
+const HEALTHY_RATE: f64 = 0.1;
 
-/// The part of an endpoint's last answers that were errors, by class: batch
-/// items that can't be done say nothing about questions.
+/// Moving averages of an endpoint's error rate by class. Batch items that always fail
+/// do not indicate that online requests fail.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(super) struct Faults {
+pub(super) struct ErrorRates {
     online: f64,
     batch: f64,
 }
 
-impl Faults {
+impl ErrorRates {
     pub(super) fn rate(&self, class: Class) -> f64 {
         match class {
             Class::Online => self.online,
@@ -39,7 +38,7 @@
         }
     }
 
-    pub(super) fn answered(&mut self, class: Class, good: bool) {
+    pub(super) fn record(&mut self, class: Class, good: bool) {
         let rate = match class {
             Class::Online => &mut self.online,
             Class::Batch => &mut self.batch,
@@ -51,18 +50,18 @@
         };
     }
 
-    pub(super) fn is_sound(&self) -> bool {
-        self.worst() < SOUND
+    pub(super) fn is_healthy(&self) -> bool {
+        self.worst() < HEALTHY_RATE
     }
 
-    /// How many of `slots` an endpoint on trial gets: one at first, and more as
-    /// good answers come.
-    pub(super) fn trial(&self, slots: u32) -> u32 {
-        if self.is_sound() {
+    /// Number of `slots` that an endpoint on trial gets: one at first, and more with
+    /// each good answer.
+    pub(super) fn trial_slots(&self, slots: u32) -> u32 {
+        if self.is_healthy() {
             return slots.min(1);
         }
-        let trust = (1.0 - self.worst() / SUSPECT).max(0.0);
-        // Between 0 and the slots of one endpoint.
+        let trust = (1.0 - self.worst() / SUSPECT_RATE).max(0.0);
+        // The value is between 0 and the slots of one endpoint.
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
         let earned = (f64::from(slots.saturating_sub(1)) * trust) as u32;
         slots.min(1 + earned)
@@ -73,13 +72,13 @@
     }
 }
 
-/// True when an endpoint with this rate fails what other endpoints don't.
-/// Without others there is nowhere else to go.
+/// True when an endpoint with this error rate is an outlier. Without other endpoints
+/// there is no alternative, so it never is.
 pub(super) fn is_outlier(rate: f64, others: &mut [f64]) -> bool {
-    if rate < SUSPECT || others.is_empty() {
+    if rate < SUSPECT_RATE || others.is_empty() {
         return false;
     }
     let middle = others.len() / 2;
     let (_, median, _) = others.select_nth_unstable_by(middle, f64::total_cmp);
-    rate >= *median * OTHERS
+    rate >= *median * OUTLIER_FACTOR
 }
--- a/src/pool/grant.rs
+++ b/src/pool/grant.rs
@@ -1,4 +1,4 @@
-//! Who gets a place next, and which batch run makes room for it.
+//! Slot assignment and preemption of batch runs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -6,16 +6,17 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
+use super::candidate::Candidate;
 use super::message::{Class, Requirements};
-use super::place::Place;
 use super::{
-    Action, Key, LEARN, Permit, Pool, RESERVE_ONE_IN, RETRY_MAX, RETRY_MIN, STOP_AGAIN, Waiting,
+    Action, Key, LEARNING_TIME, MAX_RETRY, MIN_RETRY, Permit, Pool, RESERVE_DIVISOR, STOP_RETRY,
+    Waiting,
 };
 use crate::clock::Time;
 use crate::name::Name;
 
-/// What the risk costs of running beside a suspect, in the measure of a place's score:
-/// half of the endpoint's slots.
+/// Penalty on the score of an endpoint that runs a suspect request, equivalent to half
+/// of its slots in use.
 const RISK_COST: f64 = 0.5;
 
 impl Pool {
@@ -24,28 +25,28 @@
             return;
         }
         let waiting = std::mem::take(&mut self.online);
-        let slots: u32 = self.places.values().map(Place::slots).sum();
+        let slots: u32 = self.candidates.values().map(Candidate::slots).sum();
         let mut ahead = 0_u32;
         for (key, waiting) in waiting {
-            if self.waits(now, &waiting.requirements) {
+            if self.must_wait(now, &waiting.requirements) {
                 if now.since(waiting.arrived) > waiting.requirements.max_wait {
-                    actions.push(Action::Refuse(key, RETRY_MIN));
+                    actions.push(Action::Refuse(key, MIN_RETRY));
                 } else {
                     self.online.push((key, waiting));
                 }
                 continue;
             }
-            let place = self
+            let candidate = self
                 .best(now, &waiting.requirements)
-                .or_else(|| self.stop_one(now, &waiting.requirements, actions));
-            if let Some(id) = place {
+                .or_else(|| self.preempt_one(now, &waiting.requirements, actions));
+            if let Some(id) = candidate {
                 self.grant(now, key, &waiting, &id, actions);
                 continue;
             }
-            // Every slot holds an online request. Each gets free after `hold`
-            // on average, so the wait follows from the number ahead.
+            // Every slot holds an online request. Each becomes free after `mean_hold`
+            // on average, so the wait follows from the number of requests ahead.
             ahead += 1;
-            let expected = self.hold * ahead / slots.max(1);
+            let expected = self.mean_hold * ahead / slots.max(1);
             let waited = now.since(waiting.arrived);
             if waited + expected > waiting.requirements.max_wait {
                 actions.push(Action::Refuse(key, self.retry_after(expected)));
@@ -56,13 +57,13 @@
         }
     }
 
-    /// When a request should come back that would have to wait for `expected`.
-    /// Consecutive ones get later times, so that they return in the order in
-    /// which they were refused and not all at once.
+    /// Returns the retry delay of a request that would have to wait for `expected`.
+    /// Consecutive refusals get increasing delays, so that the retries come in the
+    /// order of the refusals and not all at once.
     pub(super) fn retry_after(&mut self, expected: Duration) -> Duration {
         self.refused = (self.refused + 1) % 16;
-        let spread = self.hold * self.refused / 16;
-        (expected + spread).clamp(RETRY_MIN, RETRY_MAX)
+        let spread = self.mean_hold * self.refused / 16;
+        (expected + spread).clamp(MIN_RETRY, MAX_RETRY)
     }
 
     pub(super) fn serve_batch(&mut self, now: Time, actions: &mut Vec<Action>) {
@@ -71,10 +72,14 @@
         }
         let learning = self
             .started
-            .is_none_or(|started| now.since(started) < LEARN);
-        let slots: u32 = self.places.values().map(Place::slots).sum();
-        let reserve = slots.div_ceil(RESERVE_ONE_IN);
-        let free: u32 = self.places.values().map(|place| place.free(now)).sum();
+            .is_none_or(|started| now.since(started) < LEARNING_TIME);
+        let slots: u32 = self.candidates.values().map(Candidate::slots).sum();
+        let reserve = slots.div_ceil(RESERVE_DIVISOR);
+        let free: u32 = self
+            .candidates
+            .values()
+            .map(|candidate| candidate.free(now))
+            .sum();
         let mut room = if learning {
             0
         } else {
@@ -89,7 +94,7 @@
         let waiting = self.fair_order();
         for (key, waiting) in waiting {
             if room > 0
-                && !self.waits(now, &waiting.requirements)
+                && !self.must_wait(now, &waiting.requirements)
                 && let Some(id) = self.best(now, &waiting.requirements)
             {
                 self.grant(now, key, &waiting, &id, actions);
@@ -98,7 +103,7 @@
             }
             if now.since(waiting.arrived) > waiting.requirements.max_wait {
                 // Another pool of the service may have room.
-                actions.push(Action::Refuse(key, RETRY_MIN));
+                actions.push(Action::Refuse(key, MIN_RETRY));
                 continue;
             }
             self.batch.push((key, waiting));
@@ -106,10 +111,11 @@
         self.batch.sort_by_key(|(_, waiting)| waiting.due);
     }
 
-    /// Takes the waiting batch work, what is due first first, but an organisation
-    /// that has an equal part of the batch slots behind those that have less. Many
-    /// jobs that one hands in at once are due before the next one's single job, and
-    /// would hold every slot until that is late.
+    /// Drains the waiting batch work, earliest deadline first, but organisations that
+    /// have more than an equal share of the batch slots after those that have less.
+    /// Otherwise many jobs submitted at once by one organisation, which are all due
+    /// before the single job of the next one, would hold every slot until that job is
+    /// late.
     fn fair_order(&mut self) -> Vec<(Key, Waiting)> {
         let mut held: BTreeMap<u64, usize> = BTreeMap::new();
         for permit in self.permits.values() {
@@ -121,11 +127,11 @@
         for (_, waiting) in &self.batch {
             held.entry(waiting.requirements.organisation).or_default();
         }
-        let part = total / held.len().max(1);
+        let share = total / held.len().max(1);
         let mut order: Vec<(bool, (Key, Waiting))> = Vec::with_capacity(self.batch.len());
         for (key, waiting) in self.batch.drain(..) {
             let has = held.entry(waiting.requirements.organisation).or_default();
-            order.push((*has > part, (key, waiting)));
+            order.push((*has > share, (key, waiting)));
             *has += 1;
         }
         order.sort_by_key(|(behind, _)| *behind);
@@ -140,12 +146,12 @@
         id: &Name,
         actions: &mut Vec<Action>,
     ) {
-        let Some(place) = self.places.get_mut(id) else {
+        let Some(candidate) = self.candidates.get_mut(id) else {
             return;
         };
-        place.add(waiting.requirements.class);
-        place.granted(waiting.requirements.prefix);
-        actions.push(Action::Grant(key, Arc::clone(&place.endpoint)));
+        candidate.occupy(waiting.requirements.class);
+        candidate.remember_prefix(waiting.requirements.prefix);
+        actions.push(Action::Grant(key, Arc::clone(&candidate.endpoint)));
         let permit = Permit {
             endpoint: id.clone(),
             class: waiting.requirements.class,
@@ -153,73 +159,79 @@
             request: waiting.requirements.request,
             due: waiting.due,
             granted: now,
-            mentioned: now,
+            renewed: now,
             answering: false,
             stopping: None,
         };
         self.permits.insert(key, permit);
     }
 
-    /// The best endpoint with a free slot, of those that have not failed the
-    /// request; where all of them have, any may do better now.
+    /// Returns the best endpoint with a free slot among those that have not failed the
+    /// request. If all of them have, all are considered again.
     pub(super) fn best(&self, now: Time, requirements: &Requirements) -> Option<Name> {
-        let fresh = |id: &Name| !requirements.avoid.contains(id);
-        let any_fresh = requirements.avoid.is_empty()
+        let untried = |id: &Name| !requirements.avoid.contains(id);
+        let any_untried = requirements.avoid.is_empty()
             || self
-                .places
+                .candidates
                 .iter()
-                .any(|(id, place)| place.slots() > 0 && fresh(id));
-        let is_suspect = self.suspects.has(requirements.request);
-        let beside = self.suspects_running();
-        self.places
+                .any(|(id, candidate)| candidate.slots() > 0 && untried(id));
+        let is_suspect = self.suspects.contains(requirements.request);
+        let with_suspects = self.suspects_running();
+        self.candidates
             .iter()
-            .filter(|(id, place)| place.free(now) > 0 && (fresh(id) || !any_fresh))
-            .filter(|(id, _)| !(is_suspect && beside.contains(id)))
-            .map(|(id, place)| {
-                let risk = if beside.contains(id) { RISK_COST } else { 0.0 };
-                (place.score(requirements) + risk, self.draw(id), id)
+            .filter(|(id, candidate)| candidate.free(now) > 0 && (untried(id) || !any_untried))
+            .filter(|(id, _)| !(is_suspect && with_suspects.contains(id)))
+            .map(|(id, candidate)| {
+                let risk = if with_suspects.contains(id) {
+                    RISK_COST
+                } else {
+                    0.0
+                };
+                (candidate.score(requirements) + risk, self.tie_break(id), id)
             })
             .min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)))
             .map(|(_, _, id)| id.clone())
     }
 
-    /// The endpoints at which suspects run. Two that ran at one endpoint when it ended
-    /// could not be told apart, and whatever else runs there ends with it.
+    /// Returns the endpoints that run suspects. If an endpoint crashes while it runs
+    /// two suspects, the cause can't be attributed to either, and everything else that
+    /// runs there is lost too.
     fn suspects_running(&self) -> BTreeSet<&Name> {
         if self.suspects.is_empty() {
             return BTreeSet::new();
         }
         let permits = self.permits.values();
-        let suspects = permits.filter(|permit| self.suspects.has(permit.request));
+        let suspects = permits.filter(|permit| self.suspects.contains(permit.request));
         suspects.map(|permit| &permit.endpoint).collect()
     }
 
-    /// True while a suspected request has to wait: it rests, or another run of it goes
-    /// on. Repeats at several gateways would otherwise end as many endpoints at once.
-    fn waits(&self, now: Time, requirements: &Requirements) -> bool {
-        if self.suspects.is_empty() || !self.suspects.has(requirements.request) {
+    /// True while a suspect request has to wait, because it is backing off or another
+    /// run of it is in progress. Otherwise retries from several gateways could crash
+    /// as many endpoints at once.
+    fn must_wait(&self, now: Time, requirements: &Requirements) -> bool {
+        if self.suspects.is_empty() || !self.suspects.contains(requirements.request) {
             return false;
         }
-        if self.suspects.rests(now, requirements.request) {
+        if self.suspects.is_backing_off(now, requirements.request) {
             return true;
         }
         let same = |permit: &Permit| permit.request == requirements.request;
         self.permits.values().any(same)
     }
 
-    /// A number that is as good as random, and the same each time.
-    pub(super) fn draw(&self, id: &Name) -> u64 {
+    /// Returns a pseudo-random number that is stable for each endpoint.
+    pub(super) fn tie_break(&self, id: &Name) -> u64 {
         xxh3_64_with_seed(id.as_bytes(), self.salt)
     }
 
-    /// Stops the batch run that can best wait, and returns its endpoint.
-    pub(super) fn stop_one(
+    /// Preempts the batch run that is due last, and returns its endpoint.
+    pub(super) fn preempt_one(
         &mut self,
         now: Time,
         requirements: &Requirements,
         actions: &mut Vec<Action>,
     ) -> Option<Name> {
-        let places = &self.places;
+        let candidates = &self.candidates;
         let (key, permit) = self
             .permits
             .iter_mut()
@@ -227,26 +239,26 @@
                 permit.class == Class::Batch
                     && permit.stopping.is_none()
                     && !requirements.avoid.contains(&permit.endpoint)
-                    && places
+                    && candidates
                         .get(&permit.endpoint)
-                        .is_some_and(|place| place.is_open(now))
+                        .is_some_and(|candidate| candidate.is_open(now))
             })
             .max_by_key(|(_, permit)| permit.due)?;
         permit.stopping = Some((now, now));
         actions.push(Action::Stop(*key));
         let id = permit.endpoint.clone();
-        if let Some(place) = self.places.get_mut(&id) {
-            place.take(Class::Batch);
+        if let Some(candidate) = self.candidates.get_mut(&id) {
+            candidate.vacate(Class::Batch);
         }
         Some(id)
     }
 
-    pub(super) fn repeat_stops(&mut self, now: Time, actions: &mut Vec<Action>) {
+    pub(super) fn resend_stops(&mut self, now: Time, actions: &mut Vec<Action>) {
         for (key, permit) in &mut self.permits {
-            if let Some((_, told)) = &mut permit.stopping
-                && now.since(*told) >= STOP_AGAIN
+            if let Some((_, last_sent)) = &mut permit.stopping
+                && now.since(*last_sent) >= STOP_RETRY
             {
-                *told = now;
+                *last_sent = now;
                 actions.push(Action::Stop(*key));
             }
         }
--- a/src/pool/message.rs
+++ b/src/pool/message.rs
@@ -1,6 +1,7 @@
-//! What gateways and pools say to each other, one CBOR value a datagram.
+//! Messages between gateways and pools, one CBOR value per datagram.
 //!
-//! Datagrams get lost, doubled and reordered; whatever matters is repeated.
+//! Datagrams may be lost, duplicated and reordered, so every message that matters is
+//! repeated.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,59 +12,59 @@
 use crate::name::Name;
 use crate::quarantine::Fingerprint;
 
-/// Largest datagram in bytes, below the smallest usual path limit.
+/// Maximum size of a datagram in bytes, below the smallest common path MTU.
 pub const MAX_DATAGRAM: usize = 1_200;
-/// Permits that one datagram mentions at most, so that it stays below
+/// Maximum number of renewals in a datagram, so that it stays below
 /// [`MAX_DATAGRAM`].
-pub const HOLDS: usize = 12;
+pub const MAX_RENEWALS: usize = 12;
 
-/// What kind of work asks for a place.
+/// Class of work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Class {
-    /// Somebody waits for it.
+    /// A caller waits for the answer.
     #[serde(rename = "o")]
     Online,
-    /// It is due later.
+    /// It has a due time and no waiting caller.
     #[serde(rename = "b")]
     Batch,
 }
 
-/// A gateway asks for a place.
+/// What a request requires of a slot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Requirements {
-    /// The kind of work.
+    /// Class of the work.
     #[serde(rename = "c")]
     pub class: Class,
-    /// 0 goes first.
+    /// Priority; 0 is the highest.
     #[serde(rename = "p")]
     pub priority: u8,
     /// The gateway's availability zone.
     #[serde(rename = "z")]
     pub zone: Name,
-    /// How long it may wait for a place.
+    /// How long it may wait for a slot.
     #[serde(rename = "w")]
     pub max_wait: Duration,
-    /// When it is due, from now.
+    /// Time until it is due.
     #[serde(rename = "d")]
     pub due: Duration,
-    /// The prompt's shared prefix, 0 for none.
+    /// Hash of the prompt's shared prefix, or 0 for none.
     #[serde(rename = "x")]
     pub prefix: u64,
-    /// Stands for the organisation whose work it is, 0 for none.
+    /// Hash of the organisation, or 0 for none.
     #[serde(rename = "o", default, skip_serializing_if = "is_none")]
     pub organisation: u64,
-    /// Which request it is, whatever its id.
+    /// Fingerprint of the request's content, independent of its id.
     #[serde(rename = "f")]
     pub request: Fingerprint,
-    /// True when an endpoint ended while it ran there, as far as the gateway knows.
+    /// True when the gateway has observed an endpoint crash while running it.
     #[serde(rename = "s", default, skip_serializing_if = "std::ops::Not::not")]
     pub suspect: bool,
-    /// Endpoints that failed it.
+    /// Endpoints that failed the request.
     #[serde(rename = "a", default, skip_serializing_if = "Vec::is_empty")]
     pub avoid: Vec<Name>,
 }
 
-/// True where no organisation is named.
+/// True when there is no organisation.
 #[expect(
     clippy::trivially_copy_pass_by_ref,
     reason = "serde passes a reference"
@@ -72,179 +73,179 @@
     *value == 0
 }
 
-/// A gateway mentions a place that it holds.
+/// Renewal of a permit that a gateway holds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hold {
-    /// The gateway's number of the request.
+pub struct Renewal {
+    /// The gateway's sequence number.
     #[serde(rename = "s")]
     pub seq: u64,
     /// The endpoint.
     #[serde(rename = "e")]
     pub endpoint: Name,
-    /// The kind of work.
+    /// Class of the work.
     #[serde(rename = "c")]
     pub class: Class,
-    /// When it is due, from now.
+    /// Time until it is due.
     #[serde(rename = "d")]
     pub due: Duration,
-    /// Stands for the organisation whose work it is, 0 for none.
+    /// Hash of the organisation, or 0 for none.
     #[serde(rename = "o", default, skip_serializing_if = "is_none")]
     pub organisation: u64,
-    /// Which request it is, whatever its id.
+    /// Fingerprint of the request's content, independent of its id.
     #[serde(rename = "f")]
     pub request: Fingerprint,
-    /// True when an endpoint ended while it ran there, as far as the gateway knows.
+    /// True when the gateway has observed an endpoint crash while running it.
     #[serde(rename = "u", default, skip_serializing_if = "std::ops::Not::not")]
     pub suspect: bool,
-    /// True once the endpoint has begun to answer.
+    /// True once the endpoint has started to answer.
     #[serde(rename = "b", default, skip_serializing_if = "std::ops::Not::not")]
     pub answering: bool,
 }
 
-/// How the use of a place ended.
+/// How the use of a slot ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum End {
-    /// The endpoint answered whole.
+    /// The endpoint answered completely.
     #[serde(rename = "d")]
     Done,
-    /// The endpoint answered an error, fell silent or broke off. The request may
-    /// be at fault, or the path, as well.
+    /// The endpoint returned an error, stalled or truncated its answer. The cause may
+    /// also be the request or the network path.
     #[serde(rename = "e")]
     Error,
-    /// The endpoint's process ended during the run.
+    /// The endpoint's process crashed during the run.
     #[serde(rename = "c")]
     Crashed,
-    /// The endpoint takes no connections, or another one has its address.
+    /// The endpoint refuses connections, or its address belongs to another one.
     #[serde(rename = "f")]
     Failed,
-    /// The endpoint said that it is full.
+    /// The endpoint reported that it is full.
     #[serde(rename = "u")]
     Full,
-    /// The caller left, or does not want it any more.
+    /// The caller disconnected, or the slot is no longer needed.
     #[serde(rename = "l")]
     Left,
-    /// The pool had it stopped.
+    /// The pool preempted it.
     #[serde(rename = "s")]
     Stopped,
 }
 
-/// What a gateway tells a pool.
+/// A message from a gateway to a pool, or to a coordinator of limits.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Question {
-    /// It wants a place, or still wants it.
+pub enum Request {
+    /// Requests a slot, or repeats the request.
     #[serde(rename = "a")]
     Acquire {
         /// The pool.
         #[serde(rename = "v")]
         pool: Name,
-        /// Its number of the request.
+        /// The gateway's sequence number.
         #[serde(rename = "s")]
         seq: u64,
-        /// What it asks.
+        /// Requirements of the request.
         #[serde(rename = "q")]
         requirements: Requirements,
     },
-    /// It holds these.
+    /// Renews permits.
     #[serde(rename = "h")]
-    Holds {
+    Renew {
         /// The pool.
         #[serde(rename = "v")]
         pool: Name,
-        /// The places.
+        /// The permits.
         #[serde(rename = "l")]
-        holds: Vec<Hold>,
+        renewals: Vec<Renewal>,
     },
-    /// It gives one back, or wants none any more.
+    /// Releases a permit, or withdraws a request for one.
     #[serde(rename = "r")]
     Release {
         /// The pool.
         #[serde(rename = "v")]
         pool: Name,
-        /// Its number of the request.
+        /// The gateway's sequence number.
         #[serde(rename = "s")]
         seq: u64,
         /// How its use ended.
         #[serde(rename = "e")]
         end: End,
     },
-    /// It has a request of an organisation that has a limit.
+    /// Counts a request towards its organisation's limit.
     #[serde(rename = "c")]
     Count {
-        /// Its number of the request.
+        /// The gateway's sequence number.
         #[serde(rename = "s")]
         seq: u64,
-        /// What is to be counted.
+        /// The request to count.
         #[serde(rename = "c")]
         count: coordinator::Query,
     },
-    /// A request that was counted did not run.
+    /// Reverses the count of a request that did not run.
     #[serde(rename = "b")]
-    Back {
-        /// Its number of the request.
+    Refund {
+        /// The gateway's sequence number.
         #[serde(rename = "s")]
         seq: u64,
         /// The organisation.
         #[serde(rename = "o")]
         organisation: Name,
     },
-    /// It got no answer before, and asks whether there is one now.
+    /// Checks whether a node that did not answer is reachable again.
     #[serde(rename = "p")]
     Probe,
 }
 
-impl Question {
-    /// The pool that it is for; none where it is about a limit.
+impl Request {
+    /// Returns the addressed pool, or `None` for messages about limits and probes.
     pub fn pool(&self) -> Option<&Name> {
         match self {
-            Self::Acquire { pool, .. } | Self::Holds { pool, .. } | Self::Release { pool, .. } => {
+            Self::Acquire { pool, .. } | Self::Renew { pool, .. } | Self::Release { pool, .. } => {
                 Some(pool)
             }
-            Self::Count { .. } | Self::Back { .. } | Self::Probe => None,
+            Self::Count { .. } | Self::Refund { .. } | Self::Probe => None,
         }
     }
 }
 
-/// What a pool tells a gateway of one request.
+/// A reply to a gateway about one request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Reply {
-    /// The gateway's number of the request.
+    /// The gateway's sequence number.
     #[serde(rename = "s")]
     pub seq: u64,
-    /// What is said.
+    /// The content.
     #[serde(rename = "w")]
-    pub word: Word,
+    pub body: Body,
 }
 
-/// A pool's decision, or a keeper's.
+/// Content of a [`Reply`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Word {
-    /// Use this endpoint.
+pub enum Body {
+    /// Grants a slot of this endpoint.
     #[serde(rename = "g")]
     Grant {
         /// The endpoint.
         #[serde(rename = "e")]
         endpoint: Name,
-        /// Where it listens, for gateways whose catalog is older.
+        /// Its address, for gateways with an older catalog.
         #[serde(rename = "a")]
         address: SocketAddr,
     },
-    /// It waits.
+    /// The request is queued.
     #[serde(rename = "q")]
     Queued,
-    /// It can't be served in its time.
+    /// The request can't be served in time.
     #[serde(rename = "r")]
     Refuse {
-        /// When to come back.
+        /// Retry delay.
         #[serde(rename = "t")]
         retry_after: Duration,
     },
-    /// Stop the run.
+    /// Orders the gateway to stop the run.
     #[serde(rename = "s")]
     Stop,
-    /// To [`Question::Probe`].
+    /// Answers [`Request::Probe`].
     #[serde(rename = "h")]
-    Here,
-    /// The request is counted, or is over its organisation's limit.
+    Alive,
+    /// The decision on a [`Request::Count`].
     #[serde(rename = "c")]
     Counted(coordinator::Answer),
 }
--- a/src/pool/serve.rs
+++ b/src/pool/serve.rs
@@ -1,4 +1,4 @@
-//! Runs the pools of this node on a datagram socket of the control thread.
+//! Serves the pools and limits of this node on a datagram socket of the control thread.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -8,8 +8,8 @@
 use tokio::net::UdpSocket;
 use tokio::time::{MissedTickBehavior, interval};
 
-use super::message::{MAX_DATAGRAM, Question, Reply, Word};
-use super::{Action, Judgement, Key, Pool, shard};
+use super::message::{Body, MAX_DATAGRAM, Reply, Request};
+use super::{Action, Key, Pool, Transition, shard};
 use crate::catalog::{Catalog, Endpoint};
 use crate::clock::{Clock, Time, Uptime};
 use crate::event;
@@ -22,37 +22,37 @@
 use crate::snapshot::Cell;
 use crate::wire;
 
-/// How often waiting requests and stops are looked at though nothing arrives.
+/// Interval at which pools take a step when no datagrams arrive.
 const TICK: Duration = Duration::from_millis(25);
 
-/// Datagrams that are taken before deciding; a burst must not hold up answers
-/// for more than some milliseconds.
-const MOST_AT_ONCE: usize = 64;
-/// How often a keeper looks at the members.
-const KEEP_EVERY: Duration = Duration::from_millis(250);
+/// Maximum number of datagrams received before a step, so that a burst delays replies
+/// by a few milliseconds at most.
+const MAX_DATAGRAMS_PER_STEP: usize = 64;
+/// Interval between updates of the limits from the members.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
 
 struct Pools {
     socket: UdpSocket,
     clock: Clock,
     catalog: Arc<Cell<Catalog>>,
     by_name: BTreeMap<Name, Pool>,
-    /// The limits that this node keeps.
-    keeper: Coordinator,
+    /// Limits that this node coordinates.
+    coordinator: Coordinator,
     view: Arc<Cell<View>>,
-    /// The address of this node's own questions.
+    /// Source address of this node's own requests.
     own: IpAddr,
-    /// When another node last asked something.
-    asked: Time,
-    reach: Isolation,
-    /// When the keeper was last looked after.
-    kept: Time,
-    /// The endpoints that each pool was last given.
-    seen: BTreeMap<Name, Arc<BTreeMap<Name, Arc<Endpoint>>>>,
+    /// When the last request of another node arrived.
+    last_remote_request: Time,
+    isolation: Isolation,
+    /// When the limits were last updated.
+    last_maintenance: Time,
+    /// The endpoints last set in each pool.
+    applied: BTreeMap<Name, Arc<BTreeMap<Name, Arc<Endpoint>>>>,
 }
 
-/// What the pools of a node work with.
+/// Dependencies of the pools of a node.
 pub struct Setup {
-    /// Where gateways send their questions.
+    /// Socket that gateways send their requests to.
     pub socket: UdpSocket,
     /// The process's clock.
     pub clock: Clock,
@@ -60,26 +60,26 @@
     pub catalog: Arc<Cell<Catalog>>,
     /// The members.
     pub view: Arc<Cell<View>>,
-    /// The IP number of this node.
+    /// IP address of this node.
     pub own: IpAddr,
-    /// How exactly limits are kept.
+    /// How precisely limits are enforced.
     pub tolerance: Tolerance,
 }
 
-/// Answers gateways for as long as the thread lives.
+/// Serves gateways until the thread ends.
 pub async fn serve(setup: Setup) {
     let mut pools = Pools {
-        keeper: Coordinator::new(setup.clock.now(), setup.tolerance),
+        coordinator: Coordinator::new(setup.clock.now(), setup.tolerance),
         socket: setup.socket,
         clock: setup.clock,
         catalog: setup.catalog,
         view: setup.view,
         own: setup.own,
-        asked: Time::ZERO,
-        reach: Isolation::default(),
-        kept: Time::ZERO,
+        last_remote_request: Time::ZERO,
+        isolation: Isolation::default(),
+        last_maintenance: Time::ZERO,
         by_name: BTreeMap::new(),
-        seen: BTreeMap::new(),
+        applied: BTreeMap::new(),
     };
     let mut buffer = [0; MAX_DATAGRAM];
     let mut tick = interval(TICK);
@@ -88,7 +88,7 @@
         tokio::select! {
             received = pools.socket.recv_from(&mut buffer) => match received {
                 Ok((len, from)) => pools.receive_all(from, len, &mut buffer),
-                // A gateway that is gone shows as a refused datagram.
+                // The port of a gateway that is gone refuses datagrams.
                 Err(error) => log::debug!("{} why=\"{error}\"", event::DATAGRAM_REFUSED),
             },
             _ = tick.tick() => pools.tick(),
@@ -97,13 +97,13 @@
 }
 
 impl Pools {
-    /// Takes the datagram in `buffer` and all that wait behind it, and then
-    /// decides once: at a peak many arrive together.
+    /// Processes the datagram in `buffer` and those that are already waiting, and then
+    /// takes a single step, since many datagrams arrive together at a peak.
     fn receive_all(&mut self, from: SocketAddr, len: usize, buffer: &mut [u8]) {
         let now = self.clock.now();
         let mut actions = BTreeMap::new();
         self.receive(now, from, &buffer[..len], &mut actions);
-        for _ in 0..MOST_AT_ONCE {
+        for _ in 0..MAX_DATAGRAMS_PER_STEP {
             let Ok((len, from)) = self.socket.try_recv_from(buffer) else {
                 break;
             };
@@ -121,94 +121,96 @@
         bytes: &[u8],
         actions: &mut BTreeMap<Name, Vec<Action>>,
     ) {
-        let question: Question = match wire::decode(bytes) {
-            Ok(question) => question,
+        let request: Request = match wire::decode(bytes) {
+            Ok(request) => request,
             Err(error) => {
                 log::warn!("{} peer={from} why=\"{error}\"", event::DATAGRAM_REFUSED);
                 return;
             }
         };
         if from.ip() != self.own {
-            self.asked = now;
+            self.last_remote_request = now;
         }
         let key = |seq| Key { gateway: from, seq };
-        let Some(name) = question.pool().cloned() else {
-            return self.count(now, from, question);
+        let Some(name) = request.pool().cloned() else {
+            return self.count(now, from, request);
         };
         let pool = self
             .by_name
             .entry(name.clone())
             .or_insert_with(|| Pool::new(rand::random()));
         let actions = actions.entry(name).or_default();
-        match question {
-            Question::Acquire {
+        match request {
+            Request::Acquire {
                 seq, requirements, ..
             } => pool.acquire(now, key(seq), requirements, actions),
-            Question::Holds { holds, .. } => {
-                for hold in &holds {
-                    pool.hold(now, key(hold.seq), hold, actions);
+            Request::Renew { renewals, .. } => {
+                for renewal in &renewals {
+                    pool.renew(now, key(renewal.seq), renewal, actions);
                 }
             }
-            Question::Release { seq, end, .. } => pool.release(now, key(seq), end),
-            Question::Count { .. } | Question::Back { .. } | Question::Probe => {}
+            Request::Release { seq, end, .. } => pool.release(now, key(seq), end),
+            Request::Count { .. } | Request::Refund { .. } | Request::Probe => {}
         }
     }
 
-    /// Answers what is about no pool: a request of an organisation that has a limit is
-    /// counted, or counted no more.
-    fn count(&mut self, now: Time, from: SocketAddr, question: Question) {
+    /// Handles requests that are not addressed to a pool: counts and refunds of limits,
+    /// and probes.
+    fn count(&mut self, now: Time, from: SocketAddr, request: Request) {
         let nodes = self.view.read().usable().count();
-        self.keeper.set_node_count(now, nodes);
-        if !self.keeper.is_settled() && from.ip() != self.own {
+        self.coordinator.set_node_count(now, nodes);
+        if !self.coordinator.is_settled() && from.ip() != self.own {
             return;
         }
-        match question {
-            Question::Count { seq, count } => {
+        match request {
+            Request::Count { seq, count } => {
                 let key = Key { gateway: from, seq };
-                let verdict = if from.ip() == self.own && self.is_cut(now) {
+                let answer = if from.ip() == self.own && self.is_isolated(now) {
                     Answer {
-                        decision: Decision::Isolated(self.reach.nodes()),
+                        decision: Decision::Isolated(self.isolation.nodes()),
                         tokens: 0.0,
                     }
                 } else {
-                    self.keeper.take(now, key, &count)
+                    self.coordinator.take(now, key, &count)
                 };
-                let word = Word::Counted(verdict);
-                self.send(from, &Reply { seq, word });
+                let body = Body::Counted(answer);
+                self.send(from, &Reply { seq, body });
             }
-            Question::Back { seq, organisation } => {
+            Request::Refund { seq, organisation } => {
                 let key = Key { gateway: from, seq };
-                self.keeper.refund(now, key, &organisation);
+                self.coordinator.refund(now, key, &organisation);
             }
-            Question::Probe => {
-                let word = Word::Here;
-                self.send(from, &Reply { seq: 0, word });
+            Request::Probe => {
+                let body = Body::Alive;
+                self.send(from, &Reply { seq: 0, body });
             }
-            Question::Acquire { .. } | Question::Holds { .. } | Question::Release { .. } => {}
+            Request::Acquire { .. } | Request::Renew { .. } | Request::Release { .. } => {}
         }
     }
 
-    /// True when no other node may know what this one lets through.
-    fn is_cut(&self, now: Time) -> bool {
-        let heard = identity::age(&self.catalog.read(), Uptime::now());
-        self.reach.is_isolated(heard, now.since(self.asked))
+    /// True when this node may be cut off from all others, so that they don't account for
+    /// the requests that it lets through.
+    fn is_isolated(&self, now: Time) -> bool {
+        let confirmed_ago = identity::age(&self.catalog.read(), Uptime::now());
+        self.isolation
+            .is_isolated(confirmed_ago, now.since(self.last_remote_request))
     }
 
-    /// Looks after the limits that this node keeps.
-    fn keep(&mut self, now: Time) {
-        if now.since(self.kept) < KEEP_EVERY {
+    /// Updates the limits that this node coordinates, at most once per interval.
+    fn maintain_limits(&mut self, now: Time) {
+        if now.since(self.last_maintenance) < MAINTENANCE_INTERVAL {
             return;
         }
-        self.kept = now;
+        self.last_maintenance = now;
         let nodes = self.view.read().usable().count();
-        self.keeper.set_node_count(now, nodes);
-        self.reach.set_node_count(now, nodes);
-        self.keeper.sweep(now);
+        self.coordinator.set_node_count(now, nodes);
+        self.isolation.set_node_count(now, nodes);
+        self.coordinator.sweep(now);
     }
 
     fn tick(&mut self) {
         let now = self.clock.now();
-        self.keep(now);
+        self.maintain_limits(now);
         let busy: Vec<Name> = self
             .by_name
             .iter()
@@ -225,11 +227,11 @@
         let Some(pool) = self.by_name.get_mut(name) else {
             return;
         };
-        let seen = self.seen.get(name);
-        if seen.is_none_or(|seen| !Arc::ptr_eq(seen, &catalog.endpoints)) {
+        let applied = self.applied.get(name);
+        if applied.is_none_or(|applied| !Arc::ptr_eq(applied, &catalog.endpoints)) {
             let endpoints = catalog.endpoints.values();
-            pool.set_endpoints(endpoints.filter(|endpoint| shard::has(name, endpoint)));
-            self.seen
+            pool.set_endpoints(endpoints.filter(|endpoint| shard::contains(name, endpoint)));
+            self.applied
                 .insert(name.clone(), Arc::clone(&catalog.endpoints));
         }
         pool.step(now, &mut actions);
@@ -239,35 +241,35 @@
     }
 
     fn act(&self, action: Action) {
-        let (key, word) = match action {
+        let (key, body) = match action {
             Action::Grant(key, endpoint) => (
                 key,
-                Word::Grant {
+                Body::Grant {
                     endpoint: endpoint.id.clone(),
                     address: endpoint.address,
                 },
             ),
-            Action::Queued(key) => (key, Word::Queued),
-            Action::Refuse(key, retry_after) => (key, Word::Refuse { retry_after }),
-            Action::Stop(key) => (key, Word::Stop),
-            Action::Judged(judgement) => return log_judgement(&judgement),
+            Action::Queued(key) => (key, Body::Queued),
+            Action::Refuse(key, retry_after) => (key, Body::Refuse { retry_after }),
+            Action::Stop(key) => (key, Body::Stop),
+            Action::HealthChanged(transition) => return log_transition(&transition),
         };
-        self.send(key.gateway, &Reply { seq: key.seq, word });
+        self.send(key.gateway, &Reply { seq: key.seq, body });
     }
 
     fn send(&self, gateway: SocketAddr, reply: &Reply) {
         match wire::encode(reply) {
-            // What does not fit into the socket's buffer is lost like any other
-            // datagram; the gateway asks again.
+            // A datagram that does not fit into the socket's buffer is lost like any
+            // other; the gateway repeats its request.
             Ok(bytes) => drop(self.socket.try_send_to(&bytes, gateway)),
             Err(error) => log::warn!("{} why=\"{error}\"", event::DATAGRAM_REFUSED),
         }
     }
 }
 
-fn log_judgement(judgement: &Judgement) {
-    match judgement {
-        Judgement::LeftOut {
+fn log_transition(transition: &Transition) {
+    match transition {
+        Transition::Ejected {
             endpoint,
             pause,
             strikes,
@@ -278,7 +280,7 @@
             event::ENDPOINT_LEFT_OUT,
             pause.as_millis(),
         ),
-        Judgement::Trusted { endpoint } => {
+        Transition::Restored { endpoint } => {
             log::info!("{} endpoint={endpoint}", event::ENDPOINT_TRUSTED);
         }
     }
--- a/src/pool/shard.rs
+++ b/src/pool/shard.rs
@@ -1,22 +1,23 @@
-//! Which pools a service has.
+//! Sharding of a service into pools.
 //!
-//! A small service has one pool, which sees every slot. A large one has a pool
-//! in each availability zone with endpoints: one small VM can decide on some
-//! thousand messages a second, and 500 slots of short requests need that many.
-//! A request that one pool can't place in time is tried at another.
+//! A small service has one pool with all of its slots. A large one has a pool per
+//! availability zone with endpoints: a small VM can handle about a thousand messages
+//! per second, and 500 slots of short requests generate that many. A request that one
+//! pool can't serve in time is tried at another.
 
 use std::collections::BTreeMap;
 
 use crate::catalog::{Catalog, Endpoint};
 use crate::name::Name;
 
-/// Slots above which a service has a pool in each zone. With 168 slots a pool
-/// still uses its slots nearly as well as one that sees all of them.
-const ONE_POOL_SLOTS: u32 = 200;
-/// Separates the service from the zone in a pool's name; no service has it.
+/// Number of slots above which a service has a pool per zone. A pool of 168 slots uses
+/// them nearly as efficiently as a single pool of all slots would.
+const MAX_SINGLE_POOL_SLOTS: u32 = 200;
+/// Separates the service from the zone in a pool's name. Names of services do not
+/// contain it.
 const MARK: char = '@';
 
-/// A pool and how much of the service it has.
+/// A pool and its size.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Shard {
     /// The pool's name.
@@ -25,7 +26,7 @@
     pub slots: u32,
 }
 
-/// The pools of a service.
+/// Returns the pools of a service.
 pub fn shards(catalog: &Catalog, service: &Name) -> Vec<Shard> {
     let mut zones: BTreeMap<&Name, u32> = BTreeMap::new();
     for endpoint in catalog.endpoints.values() {
@@ -34,7 +35,7 @@
         }
     }
     let slots = zones.values().sum();
-    if slots <= ONE_POOL_SLOTS || zones.len() < 2 {
+    if slots <= MAX_SINGLE_POOL_SLOTS || zones.len() < 2 {
         let pool = service.clone();
         return vec![Shard { pool, slots }];
     }
@@ -47,23 +48,23 @@
         .collect()
 }
 
-/// True when `endpoint` belongs to the pool of that name.
-pub fn has(pool: &str, endpoint: &Endpoint) -> bool {
+/// True when `endpoint` belongs to `pool`.
+pub fn contains(pool: &str, endpoint: &Endpoint) -> bool {
     match pool.split_once(MARK) {
         Some((service, zone)) => *endpoint.service == *service && *endpoint.zone == *zone,
         None => *endpoint.service == *pool,
     }
 }
 
-/// The zone that a pool is confined to.
+/// Returns the zone that a pool is restricted to, if any.
 pub fn zone(pool: &str) -> Option<&str> {
     pool.split_once(MARK).map(|(_, zone)| zone)
 }
 
-/// The pool that a request of a zone asks first: its own zone's, so that answers
-/// cross no zone while that has room. A zone that has lost most of its endpoints
-/// is asked no more than its share.
-pub fn prefer(shards: &[Shard], own: &str, point: u64) -> Option<Name> {
+/// Returns the pool that a request from a zone tries first: the one of its own zone, so
+/// that answers do not cross zones while it has free slots. A pool that has lost most of
+/// its endpoints gets no more than its proportional share.
+pub fn choose_near(shards: &[Shard], own: &str, point: u64) -> Option<Name> {
     let near = shards.iter().find(|shard| zone(&shard.pool) == Some(own));
     let all: u32 = shards.iter().map(|shard| shard.slots).sum();
     let many = |shard: &&Shard| shard.slots as usize * shards.len() * 2 >= all as usize;
@@ -73,9 +74,9 @@
     }
 }
 
-/// The pool for a request: by chance, in proportion to slots, but not `not`.
-pub fn choose(shards: &[Shard], point: u64, not: Option<&Name>) -> Option<Name> {
-    let candidates = || shards.iter().filter(|shard| Some(&shard.pool) != not);
+/// Returns a pool other than `excluded`, drawn by `point` in proportion to slots.
+pub fn choose(shards: &[Shard], point: u64, excluded: Option<&Name>) -> Option<Name> {
+    let candidates = || shards.iter().filter(|shard| Some(&shard.pool) != excluded);
     let total: u64 = candidates()
         .map(|shard| u64::from(shard.slots.max(1)))
         .sum();
--- a/src/pool/suspect.rs
+++ b/src/pool/suspect.rs
@@ -1,5 +1,7 @@
-//! Requests that ran at endpoints when these ended, as the pool of a service hears of
-//! them: before any other node does, since all runs hold places of it.
+//! Requests that ran on endpoints when these crashed.
+//!
+//! The pool of a service learns of a crash before any other node, since all runs hold
+//! its permits.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,22 +9,23 @@
 use crate::clock::Time;
 use crate::quarantine::Fingerprint;
 
-/// How long a request stays suspect here; by then it is condemned or cleared.
-const MEMORY: Duration = Duration::from_secs(60);
-/// Most that are remembered.
+/// Time after which a suspect is dropped. By then it has been condemned or cleared.
+const SUSPECT_TTL: Duration = Duration::from_secs(60);
+/// Maximum number of suspects.
 const MAX_SUSPECTS: usize = 1_024;
 
-/// How long a request rests after its second crash; each further one doubles it. Until
-/// all nodes have heard enough to condemn it, it ends that many endpoints fewer.
-const FIRST_REST: Duration = Duration::from_millis(500);
-/// Most doublings.
-const MOST_DOUBLINGS: u32 = 3;
+/// Backoff of a request after its second crash; each further one doubles it. It limits
+/// the number of endpoints that the request crashes until all nodes have received
+/// enough evidence to condemn it.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
+/// Maximum number of doublings.
+const MAX_DOUBLINGS: u32 = 3;
 
 #[derive(Clone, Copy, Debug)]
 struct Suspect {
     since: Time,
     crashes: u32,
-    rests_until: Time,
+    backoff_until: Time,
 }
 
 /// The suspects of one pool.
@@ -32,7 +35,7 @@
 }
 
 impl Suspects {
-    /// It ran where an endpoint ended.
+    /// Adds a request that ran on an endpoint that crashed.
     pub(super) fn add(&mut self, now: Time, request: Fingerprint) {
         if self.known.len() >= MAX_SUSPECTS {
             self.expire(now);
@@ -43,37 +46,37 @@
         let suspect = self.known.entry(request).or_insert(Suspect {
             since: now,
             crashes: 0,
-            rests_until: now,
+            backoff_until: now,
         });
         suspect.since = now;
     }
 
-    /// An endpoint ended during a run of it.
-    pub(super) fn crashed(&mut self, now: Time, request: Fingerprint) {
+    /// Records a crash that this request's own run reported.
+    pub(super) fn add_crash(&mut self, now: Time, request: Fingerprint) {
         self.add(now, request);
         let Some(suspect) = self.known.get_mut(&request) else {
             return;
         };
         suspect.crashes += 1;
         if let Some(doublings) = suspect.crashes.checked_sub(2) {
-            let rest = FIRST_REST * 2_u32.pow(doublings.min(MOST_DOUBLINGS));
-            suspect.rests_until = now + rest;
+            let backoff = INITIAL_BACKOFF * 2_u32.pow(doublings.min(MAX_DOUBLINGS));
+            suspect.backoff_until = now + backoff;
         }
     }
 
-    /// It ran to its end.
+    /// Removes a request that ran to completion.
     pub(super) fn remove(&mut self, request: Fingerprint) {
         self.known.remove(&request);
     }
 
-    pub(super) fn has(&self, request: Fingerprint) -> bool {
+    pub(super) fn contains(&self, request: Fingerprint) -> bool {
         self.known.contains_key(&request)
     }
 
-    /// True while it is not to run, so that less is lost until it is condemned.
-    pub(super) fn rests(&self, now: Time, request: Fingerprint) -> bool {
+    /// True while the request must not run.
+    pub(super) fn is_backing_off(&self, now: Time, request: Fingerprint) -> bool {
         let suspect = self.known.get(&request);
-        suspect.is_some_and(|suspect| now < suspect.rests_until)
+        suspect.is_some_and(|suspect| now < suspect.backoff_until)
     }
 
     pub(super) fn is_empty(&self) -> bool {
@@ -82,6 +85,6 @@
 
     pub(super) fn expire(&mut self, now: Time) {
         self.known
-            .retain(|_, suspect| now.since(suspect.since) < MEMORY);
+            .retain(|_, suspect| now.since(suspect.since) < SUSPECT_TTL);
     }
 }
--- a/tests/pool_admission.rs
+++ b/tests/pool_admission.rs
@@ -1,5 +1,5 @@
-//! Admission to the endpoints of a service: who gets a place, who waits, who is
-//! told to come back, and which batch run gives way.
+//! Admission control of a service's endpoints: grants, queueing, refusals and
+//! preemption of batch runs.
 
 #[path = "support/pool.rs"]
 mod support;
@@ -11,13 +11,13 @@
 use auburnspoke::catalog::Endpoint;
 use auburnspoke::clock::Time;
 use auburnspoke::name::Name;
-use auburnspoke::pool::message::{Class, End, Hold, Requirements};
-use auburnspoke::pool::{Action, Judgement, Pool};
+use auburnspoke::pool::message::{Class, End, Renewal, Requirements};
+use auburnspoke::pool::{Action, Pool, Transition};
 use auburnspoke::quarantine::Fingerprint;
 use googletest::prelude::*;
 use support::{SLOTS, at, endpoint, key, needs, pool};
 
-/// Asks at `now` and returns what the pool does.
+/// Requests a slot at `now` and returns the pool's actions.
 fn decide(pool: &mut Pool, now: Time, seq: u64, requirements: Requirements) -> Vec<Action> {
     let mut actions = Vec::new();
     pool.acquire(now, key(seq), requirements, &mut actions);
@@ -32,7 +32,7 @@
     })
 }
 
-/// Fills every slot that batch work may take, as it does in a valley.
+/// Fills every slot available to batch work, and returns the last sequence number.
 fn fill_with_batch(pool: &mut Pool) -> u64 {
     decide(pool, at(0), 1, needs(Class::Batch, 1_000));
     let mut seq = 2;
@@ -50,7 +50,7 @@
 }
 
 #[gtest]
-fn ask_free_slot() {
+fn acquire_free_slot() {
     let mut pool = pool(1);
     expect_that!(
         granted(&decide(&mut pool, at(0), 1, needs(Class::Online, 5_000))),
@@ -58,10 +58,10 @@
     );
 }
 
-/// A burst of questions arrives while batch work holds the slots. Each question
-/// must start at once and not behind a batch item, which runs for seconds.
+/// A burst of online requests arrives while batch work holds the slots. Each of them
+/// must start at once and not wait for a batch item, which runs for seconds.
 #[gtest]
-fn ask_online_stops_batch() {
+fn acquire_online_stops_batch() {
     let mut pool = pool(2);
     let next = fill_with_batch(&mut pool) + 1;
     let mut stopped = 0;
@@ -73,11 +73,11 @@
             .filter(|action| matches!(action, Action::Stop(_)))
             .count();
     }
-    // One slot was kept free of batch work.
+    // One slot is reserved for online requests.
     expect_that!(stopped, eq(usize::try_from(2 * SLOTS - 1).unwrap()));
 }
 
-/// The run that is due last can wait longest, so it gives way first.
+/// The batch run that is due last is preempted first.
 #[gtest]
 fn stop_latest_due() {
     let mut pool = pool(1);
@@ -87,10 +87,10 @@
     expect_that!(actions, contains(eq(&Action::Stop(key(last)))));
 }
 
-/// The datagram with a stop gets lost. The batch run would hold a slot that is
-/// counted as free, and a question would wait at the endpoint behind it.
+/// The datagram with a stop gets lost. If it were not resent, the batch run would keep
+/// a slot that counts as free, and an online request would wait behind it at the endpoint.
 #[gtest]
-fn stop_repeated_until_obeyed() {
+fn stop_repeated_until_ended() {
     let mut pool = pool(1);
     let last = fill_with_batch(&mut pool) - 1;
     decide(&mut pool, at(510), 900, needs(Class::Online, 5_000));
@@ -104,11 +104,11 @@
     expect_that!(actions, not(contains(eq(&Action::Stop(key(last))))));
 }
 
-/// Every slot holds a question and more come than can start in their time. Each
-/// further one is told at once when to come back, spread over time, so that they
-/// don't return together.
+/// Every slot holds an online request, and more arrive than can start in time. Each
+/// further one is refused at once, with retry delays that differ so that the retries
+/// do not come all together.
 #[gtest]
-fn ask_overload_refused_at_once() {
+fn acquire_overload_refused_at_once() {
     let mut pool = pool(1);
     let mut refused = Vec::new();
     for seq in 0..60 {
@@ -118,7 +118,7 @@
             }
         }
     }
-    // Eight run; in 230 ms two or three more slots get free.
+    // Eight run; two or three more slots become free within 230 ms.
     expect_that!(refused.len(), ge(48));
     let mut distinct = refused.clone();
     distinct.sort();
@@ -127,10 +127,10 @@
     expect_that!(refused, each(le(&Duration::from_secs(2))));
 }
 
-/// A request that can't start in its time is refused when that becomes known,
-/// not when its time has passed.
+/// A request that can't start within its maximum wait is refused as soon as this is
+/// known, not when the time has passed.
 #[gtest]
-fn ask_patience_over() {
+fn acquire_max_wait_exceeded() {
     let mut pool = pool(1);
     for seq in 0..9 {
         decide(&mut pool, at(0), seq, needs(Class::Online, 5_000));
@@ -143,7 +143,7 @@
     );
 }
 
-/// A gateway dies with what it holds. Its slots must not stay taken for good.
+/// A gateway crashes while it holds permits. Their slots must become free again.
 #[gtest]
 fn expire_gateway_gone() {
     let mut pool = pool(1);
@@ -154,15 +154,15 @@
     expect_that!(granted(&actions), some(eq("e0")));
 }
 
-/// The pool's node dies and another one begins without knowing who holds what.
-/// It learns that from the gateways before it gives batch work anything, so that
-/// no endpoint gets more requests than it has slots.
+/// The pool's node crashes and another one starts without the permits. It must receive
+/// renewals from the gateways before it grants batch work, so that no endpoint gets
+/// more requests than it has slots.
 #[gtest]
-fn hold_new_pool_learns() {
+fn renew_new_pool_learns() {
     let mut pool = pool(1);
     let mut actions = Vec::new();
     for seq in 0..8 {
-        let hold = Hold {
+        let renewal = Renewal {
             seq,
             endpoint: "e0".into(),
             class: Class::Batch,
@@ -172,14 +172,14 @@
             due: Duration::from_secs(9),
             answering: false,
         };
-        pool.hold(at(0), key(seq), &hold, &mut actions);
+        pool.renew(at(0), key(seq), &renewal, &mut actions);
     }
     let actions = decide(&mut pool, at(450), 100, needs(Class::Batch, 5_000));
     expect_that!(granted(&actions), none());
 }
 
 #[gtest]
-fn ask_batch_while_learning() {
+fn acquire_batch_while_learning() {
     let mut pool = pool(1);
     expect_that!(
         granted(&decide(&mut pool, at(0), 1, needs(Class::Batch, 5_000))),
@@ -187,20 +187,20 @@
     );
 }
 
-/// The datagram with a grant gets lost and the gateway asks again; it must get
-/// the same place and not a second one.
+/// The datagram with a grant gets lost and the gateway repeats its request. It must get
+/// the same slot and not a second one.
 #[gtest]
-fn ask_grant_lost() {
+fn acquire_grant_lost() {
     let mut pool = pool(1);
     decide(&mut pool, at(0), 1, needs(Class::Online, 5_000));
     decide(&mut pool, at(25), 1, needs(Class::Online, 5_000));
     expect_that!(pool.gauge().held, eq(1));
 }
 
-/// An endpoint crashed. While it is down each try costs a caller time, so it is
-/// left out for a while and then tried with one request.
+/// An endpoint crashed. While it is down each attempt delays a caller, so it is
+/// ejected for a while and then tried with a single request.
 #[gtest]
-fn release_failed_endpoint_left_out() {
+fn release_failed_endpoint_ejected() {
     let mut pool = pool(2);
     let mut avoided = needs(Class::Online, 5_000);
     avoided.avoid = vec!["e1".into()];
@@ -216,10 +216,9 @@
     expect_that!(granted(&actions), none());
 }
 
-/// All nodes were killed and are back, and callers return at once. Until the
-/// nodes have found each other each admits by a pool of its own. If these agreed
-/// on which endpoint is the best of equals, it would get a request of each node,
-/// and callers would wait there while other endpoints have nothing to do.
+/// After a restart of all nodes, each node runs its own pool until they have discovered
+/// each other. If all pools broke ties between endpoints alike, one endpoint would get a
+/// request of each node, and callers would wait there while other endpoints are idle.
 #[gtest]
 fn grant_many_pools() {
     let mut held: BTreeMap<String, u32> = BTreeMap::new();
@@ -238,7 +237,7 @@
     expect_that!(waiting, le(3), "{held:?}");
 }
 
-/// An endpoint that is leaving must get nothing more.
+/// An endpoint that is leaving must not get further requests.
 #[gtest]
 fn set_endpoints_leaving() {
     let mut pool = pool(1);
@@ -253,11 +252,11 @@
     );
 }
 
-/// An endpoint crashes with all of its slots in use, and answers again a second
-/// later. Every run on it breaks off at once; together they tell no more than
-/// one of them, and it must not stay closed for seconds because there were many.
+/// An endpoint crashes with all of its slots in use and is back a second later. All of
+/// its runs fail at once, which must count as a single failure; otherwise it would stay
+/// paused for seconds.
 #[gtest]
-fn release_errors_together() {
+fn release_errors_at_once() {
     let mut pool = pool(3);
     let mut first = BTreeSet::new();
     for seq in 0..u64::from(3 * SLOTS) {
@@ -283,10 +282,10 @@
     expect_that!(granted(&open), some(eq("e0")));
 }
 
-/// A clerk was refused although one endpoint had nothing to do. Whoever looks
-/// into it needs to see when it was left out, why, and when it was trusted again.
+/// When a request is refused although an endpoint is idle, the log must show when and
+/// why that endpoint was ejected, and when it was restored.
 #[gtest]
-fn judged_left_out_and_trusted() {
+fn health_changed_ejected_and_restored() {
     let mut pool = pool(2);
     let mut actions = Vec::new();
     for seq in 0..3 {
@@ -298,8 +297,8 @@
     pool.step(at(10), &mut actions);
     expect_that!(
         actions,
-        elements_are![matches_pattern!(Action::Judged(matches_pattern!(
-            Judgement::LeftOut {
+        elements_are![matches_pattern!(Action::HealthChanged(matches_pattern!(
+            Transition::Ejected {
                 endpoint: eq(&Name::from("e0")),
                 strikes: eq(&1),
                 errors_online: eq(&488),
@@ -315,17 +314,16 @@
         pool.release(at(600 + seq), key(seq), End::Done);
         pool.step(at(600 + seq), &mut trusted);
     }
-    let expected = Action::Judged(Judgement::Trusted {
+    let expected = Action::HealthChanged(Transition::Restored {
         endpoint: "e0".into(),
     });
     expect_that!(trusted, contains(eq(&expected)));
 }
 
-/// Half of the batch items of a job can never be done, and every endpoint says
-/// so. That is the items' fault; no endpoint may be left out for it, or
-/// questions would find none.
+/// Half of the batch items of a job fail on every endpoint. The items are at fault, so
+/// no endpoint may be ejected; otherwise none would be left for online requests.
 #[gtest]
-fn release_errors_everywhere() {
+fn release_errors_on_every_endpoint() {
     let mut pool = pool(3);
     decide(&mut pool, at(0), 1, needs(Class::Batch, 5_000));
     pool.release(at(0), key(1), End::Left);
@@ -350,11 +348,10 @@
     }
 }
 
-/// Every endpoint of a small service has failed a question once. There is no
-/// other left to go to, and one of them may well answer it now; without a place
-/// the clerk would wait until the deadline.
+/// Every endpoint of a small service has failed a request once. All must be tried again;
+/// otherwise the request would wait until its deadline.
 #[gtest]
-fn ask_every_endpoint_avoided() {
+fn acquire_every_endpoint_avoided() {
     let mut pool = pool(2);
     let mut avoided = needs(Class::Online, 5_000);
     avoided.avoid = vec!["e0".into(), "e1".into()];
@@ -364,9 +361,9 @@
     );
 }
 
-/// An endpoint failed, full of requests, and its process starts again under the
-/// same id. Were what is remembered of the earlier process kept, it would stand
-/// idle for seconds while callers wait for a place.
+/// An endpoint fails with all slots in use, and its process restarts under the same id.
+/// If the state of the previous process were kept, the endpoint would be idle for
+/// seconds while callers wait for a slot.
 #[gtest]
 fn set_endpoints_restarted() {
     let mut pool = pool(1);
@@ -385,11 +382,11 @@
     }
 }
 
-/// One organisation hands in a thousand jobs, and a moment later another one its
-/// single job. All of the first one's are due before it; served in that order the
-/// single job would be late by all of their time, and its planner without a sheet.
+/// One organisation submits many jobs, and shortly afterwards another one submits a
+/// single job that is due after them. Served strictly by due time, the single job would
+/// be late by the duration of all the others.
 #[gtest]
-fn ask_batch_between_organisations() {
+fn acquire_batch_between_organisations() {
     let of = |organisation, due_ms| Requirements {
         organisation,
         request: Fingerprint(0),
--- a/tests/pool_replay.rs
+++ b/tests/pool_replay.rs
@@ -1,5 +1,5 @@
-//! Replays of payment runs' load against the pool: peaks of questions, batch work
-//! that always waits, and endpoints that fail.
+//! Replays the load of payment runs against the pool: peaks of online requests, batch
+//! work that always waits, and endpoints that fail.
 
 #[path = "support/pool.rs"]
 mod support;
@@ -9,7 +9,7 @@
 
 use auburnspoke::catalog::Endpoint;
 use auburnspoke::name::Name;
-use auburnspoke::pool::message::{Class, End, Hold, Requirements};
+use auburnspoke::pool::message::{Class, End, Renewal, Requirements};
 use auburnspoke::pool::{Action, Key};
 use auburnspoke::quarantine::Fingerprint;
 use googletest::prelude::*;
@@ -17,44 +17,44 @@
 use rand_chacha::ChaCha8Rng;
 use support::{at, key, needs, pool};
 
-/// What a replayed load came to.
+/// Result of a replay.
 #[derive(Debug, Default)]
 struct Served {
     online: u32,
-    /// Of these, in peaks.
+    /// Online requests that arrived in peaks.
     peak: u32,
-    in_aim: u32,
-    /// Seconds of slots that batch work had.
+    in_goal: u32,
+    /// Slot-seconds used by batch work.
     batch: f64,
-    /// Questions and batch items that an endpoint answered with an error.
+    /// Online requests and batch items that an endpoint answered with an error.
     errors: u32,
 }
 
-/// How endpoints answer that say that they are well and are not.
+/// A fault of endpoints that pass health checks but fail requests.
 #[derive(Clone, Copy, Debug, Default)]
-struct Sick {
-    /// The first so many of the endpoints.
+struct Fault {
+    /// Number of affected endpoints.
     endpoints: usize,
-    /// From this millisecond on.
-    from: u64,
-    /// The part of their requests that they fail.
-    part: f64,
-    /// After so many milliseconds.
-    after: u64,
+    /// Start of the fault in milliseconds.
+    from_ms: u64,
+    /// Fraction of their requests that fail.
+    error_rate: f64,
+    /// Time to the failure in milliseconds.
+    delay: u64,
 }
 
-impl Sick {
-    fn strikes(&self, random: &mut ChaCha8Rng, now: u64, endpoint: &Endpoint) -> bool {
-        let sick = (0..self.endpoints).any(|at| *endpoint.id == *format!("e{at}"));
-        sick && now >= self.from && random.random_bool(self.part)
+impl Fault {
+    fn fails(&self, random: &mut ChaCha8Rng, now: u64, endpoint: &Endpoint) -> bool {
+        let affected = (0..self.endpoints).any(|at| *endpoint.id == *format!("e{at}"));
+        affected && now >= self.from_ms && random.random_bool(self.error_rate)
     }
 }
 
-/// Replays peaks of 1.85 times the mean for 2.2 s and valleys of 0.38 times for
-/// 3 s, as payment runs bring them, with batch work always waiting, on 9
-/// endpoints of 8 slots. Questions take 0.7 s, batch items 4.8 s. A stopped run
-/// frees its slot after 4 ms.
-fn replay(seed: u64, mean_per_s: f64, sick: Sick) -> Served {
+/// Replays the load profile of payment runs, peaks of 1.85 times the mean for 2.2 s and
+/// valleys of 0.38 times for 3 s, with batch work always waiting, on 9 endpoints of
+/// 8 slots. Online requests take 0.7 s and batch items 4.8 s. A stopped run frees its
+/// slot after 4 ms.
+fn replay(seed: u64, mean_per_s: f64, fault: Fault) -> Served {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut pool = pool(9);
     let mut served = Served::default();
@@ -100,7 +100,7 @@
         }
         if now % 200 == 0 {
             for (seq, (class, began, endpoint)) in &running {
-                let hold = Hold {
+                let renewal = Renewal {
                     seq: *seq,
                     endpoint: endpoint.clone(),
                     class: *class,
@@ -110,7 +110,7 @@
                     suspect: false,
                     answering: now >= began + 40 && !failing.contains(seq),
                 };
-                pool.hold(at(now), key(*seq), &hold, &mut actions);
+                pool.renew(at(now), key(*seq), &renewal, &mut actions);
             }
             for (seq, (class, _)) in &asked {
                 pool.acquire(at(now), key(*seq), needs(*class, 5_000), &mut actions);
@@ -124,13 +124,13 @@
                         continue;
                     };
                     let (takes, end) = match class {
-                        _ if sick.strikes(&mut random, now, &endpoint) => (sick.after, End::Error),
+                        _ if fault.fails(&mut random, now, &endpoint) => (fault.delay, End::Error),
                         Class::Online => (700, End::Done),
                         Class::Batch => (4_800, End::Done),
                     };
                     served.errors += u32::from(end == End::Error);
                     if class == Class::Online && end == End::Done && now - since <= 230 {
-                        served.in_aim += 1;
+                        served.in_goal += 1;
                     }
                     if end != End::Done {
                         failing.insert(seq);
@@ -144,92 +144,89 @@
                 Action::Refuse(Key { seq, .. }, _) => {
                     asked.remove(&seq);
                 }
-                Action::Queued(_) | Action::Judged(_) => {}
+                Action::Queued(_) | Action::HealthChanged(_) => {}
             }
         }
     }
     served
 }
 
-/// At the usual load nobody waits behind batch work, and batch has most of what
-/// the questions leave free: 72 slots for 30 s less 42 x 0.7 s x 30 s.
+/// At normal load no online request waits behind batch work, and batch work uses most of
+/// the remaining capacity: 72 slots for 30 s less 42 x 0.7 s x 30 s.
 #[gtest]
 fn replay_peaks_usual() {
     for seed in 0..5 {
-        let served = replay(seed, 42.0, Sick::default());
-        expect_that!(served.in_aim, ge(served.online * 99 / 100), "{served:?}");
+        let served = replay(seed, 42.0, Fault::default());
+        expect_that!(served.in_goal, ge(served.online * 99 / 100), "{served:?}");
         let left = 72.0 * 30.0 - f64::from(served.online) * 0.7;
         expect_that!(served.batch / left, ge(0.85), "{served:?}");
     }
 }
 
-/// An endpoint answers everything with an error within a few milliseconds, and
-/// its health check is good. Its slots are free all the time, so by load alone it
-/// would draw most of the questions, and clerks would see errors while eight
-/// sound endpoints have room.
+/// An endpoint answers everything with an error within a few milliseconds, but passes
+/// its health check. Its slots are always free, so balancing by load alone would send it
+/// most online requests while eight healthy endpoints have free slots.
 #[gtest]
 fn replay_endpoint_answers_errors() {
-    let sick = Sick {
+    let fault = Fault {
         endpoints: 1,
-        from: 5_000,
-        part: 1.0,
-        after: 3,
+        from_ms: 5_000,
+        error_rate: 1.0,
+        delay: 3,
     };
     for seed in 0..5 {
-        let served = replay(seed, 42.0, sick);
+        let served = replay(seed, 42.0, fault);
         expect_that!(served.errors, le(40), "{served:?}");
-        expect_that!(served.in_aim, ge(served.online * 98 / 100), "{served:?}");
+        expect_that!(served.in_goal, ge(served.online * 98 / 100), "{served:?}");
     }
 }
 
-/// A third of the endpoints fail four in ten requests; what they don't fail they
-/// answer as usual. One good answer must not bring such an endpoint all of its
-/// requests back.
+/// A third of the endpoints fail 40% of their requests. One good answer must not restore
+/// such an endpoint to all of its slots.
 #[gtest]
 fn replay_endpoints_answer_some_errors() {
-    let sick = Sick {
+    let fault = Fault {
         endpoints: 3,
-        from: 5_000,
-        part: 0.4,
-        after: 3,
+        from_ms: 5_000,
+        error_rate: 0.4,
+        delay: 3,
     };
     for seed in 0..5 {
-        let served = replay(seed, 42.0, sick);
+        let served = replay(seed, 42.0, fault);
         expect_that!(served.errors, le(80), "{served:?}");
-        expect_that!(served.in_aim, ge(served.online * 9 / 10), "{served:?}");
+        expect_that!(served.in_goal, ge(served.online * 9 / 10), "{served:?}");
     }
 }
 
-/// Most endpoints break off six in a hundred of their answers, as when a switch
-/// loses connections. That is no reason to leave any of them out: what they would
-/// have served is more than what is lost, and at the next peak half of the slots
-/// would be missing.
+/// Most endpoints truncate 6% of their answers, as when a switch drops connections. None
+/// of them may be ejected: they would have served more than what is lost, and half of
+/// the slots would be missing at the next peak.
 #[gtest]
 fn replay_answers_broken_off() {
-    let sick = Sick {
+    let fault = Fault {
         endpoints: 7,
-        from: 2_000,
-        part: 0.06,
-        after: 200,
+        from_ms: 2_000,
+        error_rate: 0.06,
+        delay: 200,
     };
     for seed in 0..5 {
-        let served = replay(seed, 42.0, sick);
-        expect_that!(served.in_aim, ge(served.online * 94 / 100), "{served:?}");
+        let served = replay(seed, 42.0, fault);
+        expect_that!(served.in_goal, ge(served.online * 94 / 100), "{served:?}");
         let left = 72.0 * 30.0 - f64::from(served.online) * 0.7;
         expect_that!(served.batch / left, ge(0.90), "{served:?}");
     }
 }
 
-/// At twice the usual load the peaks are above what the slots can take. Nothing
-/// can serve more in its aim than 72 slots start within a peak and the 230 ms
-/// behind it, beside all of the valleys; at least 95 in 100 of that are served.
+/// At twice the normal load the peaks exceed the capacity. The maximum that can be served
+/// within the goal is what 72 slots start within a peak and the following 230 ms, plus
+/// all requests in valleys. At least 95% of that must be served.
 #[gtest]
 fn replay_peaks_double() {
     for seed in 0..5 {
-        let served = replay(seed, 84.0, Sick::default());
+        let served = replay(seed, 84.0, Fault::default());
         let peaks = 30.0 / 5.2;
         let most = f64::from(served.peak).min(72.0 * 2.43 / 0.7 * peaks);
         let bound = most + f64::from(served.online - served.peak);
-        expect_that!(f64::from(served.in_aim), ge(0.95 * bound), "{served:?}");
+        expect_that!(f64::from(served.in_goal), ge(0.95 * bound), "{served:?}");
     }
 }
--- a/tests/pool_shard.rs
+++ b/tests/pool_shard.rs
@@ -1,4 +1,4 @@
-//! Which pools a service has, and which one a request asks.
+//! Sharding of services into pools, and the choice of a pool for a request.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -34,8 +34,8 @@
     expect_that!(&*shards[0].pool, eq("s"));
 }
 
-/// A large service brings more messages than one small VM can decide on; asks
-/// would go unanswered and endpoints get more than they have slots.
+/// A large service generates more messages than one small VM can handle. With a single
+/// pool, requests would go unanswered and endpoints get more requests than slots.
 #[gtest]
 fn shards_large_service() {
     let catalog = catalog(72, 7);
@@ -45,7 +45,7 @@
         let own = catalog
             .endpoints
             .values()
-            .filter(|it| shard::has(&shard.pool, it));
+            .filter(|it| shard::contains(&shard.pool, it));
         expect_that!(own.count(), eq(24));
     }
 }
--- a/tests/quarantine_explore/fleet.rs
+++ b/tests/quarantine_explore/fleet.rs
@@ -407,7 +407,7 @@
                 Action::Refuse(key, _) => {
                     self.waiting.remove(&key);
                 }
-                Action::Queued(_) | Action::Stop(_) | Action::Judged(_) => {}
+                Action::Queued(_) | Action::Stop(_) | Action::HealthChanged(_) => {}
             }
         }
     }
--- a/tests/support/pool.rs
+++ b/tests/support/pool.rs
@@ -1,4 +1,4 @@
-//! A pool and its endpoints as tests need them.
+//! A pool and its endpoints for tests.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 /// Slots of each endpoint.
 pub const SLOTS: u32 = 8;
 
-/// An endpoint; every third one is in the same zone.
+/// Returns an endpoint; endpoints are spread over three zones in turn.
 pub fn endpoint(at: usize) -> Arc<Endpoint> {
     Arc::new(Endpoint {
         id: format!("e{at}").into(),
@@ -26,13 +26,13 @@
     })
 }
 
-/// The key of a request of the one gateway.
+/// Returns the key of a request of the only gateway.
 pub fn key(seq: u64) -> Key {
     let gateway = SocketAddr::from(([127, 0, 0, 1], 7));
     Key { gateway, seq }
 }
 
-/// What a request of the zone `a` asks that waits for 230 ms.
+/// Returns the requirements of a request from zone `a` that waits for at most 230 ms.
 pub fn needs(class: Class, due_ms: u64) -> Requirements {
     Requirements {
         class,
@@ -48,7 +48,7 @@
     }
 }
 
-/// A pool with so many endpoints.
+/// Returns a pool with the given number of endpoints.
 pub fn pool(endpoints: usize) -> Pool {
     let mut pool = Pool::default();
     let all: Vec<_> = (0..endpoints).map(endpoint).collect();
@@ -56,7 +56,7 @@
     pool
 }
 
-/// A time of the test, in milliseconds.
+/// Returns the time `millis` after the start of the test.
 pub fn at(millis: u64) -> Time {
     Time::from_millis(10_000 + millis)
 }
