--- a/benches/member.rs
+++ b/benches/member.rs
@@ -40,10 +40,10 @@
     net.run(secs(60));
     let start = bytes(&net);
     net.run(secs(60));
-    let quiet = (bytes(&net) - start) / 60.0;
+    let idle = (bytes(&net) - start) / 60.0;
     let start = bytes(&net);
     net.input(0, Input::InForce(1));
-    let heard = net.run_until(secs(300), |net| {
+    let received = net.run_until(secs(300), |net| {
         net.nodes.values().all(|node| node.gossip.committed() == 1)
     });
     for at in 1..count {
@@ -51,15 +51,15 @@
     }
     let known = net.run_until(secs(300), |net| versions_known(net, 1));
     net.run(secs(120));
-    let change = bytes(&net) - start - quiet * 120.0;
+    let change = bytes(&net) - start - idle * 120.0;
     let start = bytes(&net);
     net.kill(count - 1);
     let dead = net.run_until(secs(300), |net| net.all_see(count - 1, State::Dead));
     net.run(secs(60));
-    let death = bytes(&net) - start - quiet * 60.0;
+    let death = bytes(&net) - start - idle * 60.0;
     println!(
-        "seed {seed} members {count}: all agree after {formed:?}; quiet {quiet:.0} B/s out; \
-         a version is heard after {heard:?}, known to be in force after another {known:?}, \
+        "seed {seed} members {count}: converged after {formed:?}; idle {idle:.0} B/s out; \
+         a version is received after {received:?}, known to be in force after another {known:?}, \
          and takes {change:.0} B out; a death is known after {dead:?} and takes {death:.0} B out"
     );
 }
@@ -76,7 +76,9 @@
     net.groups.clear();
     let took = net.run_until(secs(600), |net| net.converged(count));
     let died = net.changed_to(State::Dead, healed).len();
-    println!("seed {seed} members {count}: whole again {took:?} after a cut, {died} wrong deaths");
+    println!(
+        "seed {seed} members {count}: converged {took:?} after a partition, {died} false deaths"
+    );
 }
 
 /// Datagram loss without any other fault; every suspicion is a false one.
@@ -93,8 +95,8 @@
             .collect();
         let died = net.changed_to(State::Dead, start).len();
         println!(
-            "loss {loss}: {} of {count} members were suspected by somebody within 300 s, \
-             {died} times one was taken for dead",
+            "loss {loss}: {} of {count} members were suspected at least once within 300 s, \
+             {died} false deaths",
             suspected.len()
         );
     }
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,8 +1,8 @@
-//! Time as the decisions see it.
+//! Clocks and points in time.
 //!
-//! A decision never reads a clock: it is handed a [`Time`], so that a test can
-//! replay it from a seed and a benchmark can run it in virtual time. Only the
-//! shells call [`Clock::now`].
+//! Pure state machines never read a clock: they are passed a [`Time`], so that a
+//! test can replay them from a seed and a benchmark can run them in virtual time.
+//! Only the code that runs them calls [`Clock::now`].
 
 use std::fmt;
 use std::ops::{Add, AddAssign, Sub};
@@ -11,37 +11,37 @@
 use rustix::time::{ClockId, clock_gettime};
 use tokio::time::Instant;
 
-/// A point in time: microseconds since an origin that the process chose.
+/// A point in time: microseconds since an origin chosen by the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Time(u64);
 
 impl Time {
-    /// The origin itself.
+    /// The origin.
     pub const ZERO: Self = Self(0);
-    /// Later than everything else, for "never".
+    /// Later than every other time; means "never".
     pub const MAX: Self = Self(u64::MAX);
 
-    /// The point `micros` microseconds after the origin.
+    /// Returns the point `micros` microseconds after the origin.
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// The point `millis` milliseconds after the origin.
+    /// Returns the point `millis` milliseconds after the origin.
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis.saturating_mul(1_000))
     }
 
-    /// Microseconds since the origin.
+    /// Returns the microseconds since the origin.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// Milliseconds since the origin, rounded down.
+    /// Returns the milliseconds since the origin, rounded down.
     pub const fn as_millis(self) -> u64 {
         self.0 / 1_000
     }
 
-    /// Time passed since `earlier`, zero if `earlier` lies in the future.
+    /// Returns the time since `earlier`, zero if `earlier` is in the future.
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
@@ -77,28 +77,29 @@
     }
 }
 
-/// How long this VM has run, the time in which it was suspended among it.
+/// Time since the start of this VM, including the time in which it was suspended.
 ///
-/// [`Time`] stands still while the VM is suspended, so that what was known before
-/// would seem as new as it was. Ages on which a promise rests count here. Values
-/// of two VMs can't be compared; what travels between them is an age.
+/// [`Time`] stops while the VM is suspended, so that old evidence would still
+/// seem new after it resumes. Ages on which a guarantee depends are therefore
+/// measured with this type. Values of two VMs cannot be compared; messages
+/// between them carry ages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Uptime(Duration);
 
 impl Uptime {
-    /// So long after the VM's start.
+    /// Returns the time `since_start` after the start of the VM.
     pub const fn new(since_start: Duration) -> Self {
         Self(since_start)
     }
 
-    /// The present value. Only shells read it.
+    /// Returns the current value. Pure state machines must not call it.
     pub fn now() -> Self {
         let now = clock_gettime(ClockId::Boottime);
         let nanos = u32::try_from(now.tv_nsec).unwrap_or(0);
         Self(Duration::new(u64::try_from(now.tv_sec).unwrap_or(0), nanos))
     }
 
-    /// Time passed since `earlier`, zero if `earlier` lies in the future.
+    /// Returns the time since `earlier`, zero if `earlier` is in the future.
     pub const fn since(self, earlier: Self) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
@@ -120,18 +121,18 @@
     }
 }
 
-/// The monotonic clock of this process, with its origin at process start.
+/// The monotonic clock of this process.
 ///
-/// One is made at start and copied to every shell, so that times from
-/// different threads can be compared.
+/// One clock is created at process start and copied to every thread, so that
+/// times from different threads are comparable.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
 }
 
 impl Clock {
-    /// Starts a clock whose origin lies an hour ago, so that subtracting a
-    /// timeout from an early time does not run into the origin.
+    /// Starts a clock whose origin is an hour ago, so that subtracting a timeout
+    /// from an early time does not reach the origin.
     pub fn start() -> Self {
         let now = Instant::now();
         let hour = Duration::from_secs(3_600);
@@ -140,15 +141,16 @@
         }
     }
 
-    /// The present time.
+    /// Returns the current time.
     pub fn now(&self) -> Time {
         Time::ZERO + self.origin.elapsed()
     }
 }
 
-/// Milliseconds since 1970 by the wall clock, for rows and people.
+/// Returns the milliseconds since 1970 by the wall clock, for stored rows and
+/// display.
 ///
-/// VMs' wall clocks differ, so nothing that must be safe may rest on it.
+/// Wall clocks of VMs differ, so nothing that affects safety may depend on it.
 pub fn unix_millis() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/src/snapshot.rs
+++ b/src/snapshot.rs
@@ -1,33 +1,33 @@
-//! Immutable snapshots that the control thread publishes and traffic threads
-//! read without a lock.
+//! Immutable snapshots that the control thread publishes and traffic threads read
+//! without a lock.
 
 use std::sync::Arc;
 
 use arc_swap::{ArcSwap, Guard};
 
-/// A place that always holds the newest snapshot.
+/// Holds the latest snapshot.
 ///
-/// Readers never wait for the writer, so that a slow change of configuration
-/// can't hold up a request.
+/// Readers never wait for the writer, so that a slow configuration change cannot
+/// delay a request.
 #[derive(Debug)]
 pub struct Cell<T> {
     current: ArcSwap<T>,
 }
 
 impl<T> Cell<T> {
-    /// A cell that holds `first` until something newer is published.
+    /// Creates a cell that holds `first` until another snapshot is published.
     pub fn new(first: T) -> Self {
         Self {
             current: ArcSwap::from_pointee(first),
         }
     }
 
-    /// The newest snapshot, for the length of one decision.
+    /// Returns the latest snapshot, for a short time without an await.
     pub fn read(&self) -> Guard<Arc<T>> {
         self.current.load()
     }
 
-    /// The newest snapshot, to be kept across an await.
+    /// Returns the latest snapshot, which may be held across an await.
     pub fn load(&self) -> Arc<T> {
         self.current.load_full()
     }
--- a/src/table.rs
+++ b/src/table.rs
@@ -1,9 +1,9 @@
-//! What the platform gives: a transactional table, an object store, a list of
+//! Services of the platform: a transactional table, an object store, a list of
 //! VMs and a weight store, each behind a small trait.
 //!
-//! Every change may suffer the same three fates: it took effect, it certainly
-//! did not, or its answer was lost after it may have taken effect. The error
-//! type keeps the last two apart, because exactly-once rests on it; see
+//! A change has one of three outcomes: it took effect, it certainly did not, or
+//! its answer was lost and it may have taken effect. The error type distinguishes
+//! the last two, because exactly-once processing depends on it; see
 //! docs/design/table.md.
 
 use std::fmt;
@@ -20,25 +20,25 @@
 pub mod memory;
 pub mod protocol;
 
-/// A row of the table. Keys sort by their bytes; `/` separates their parts.
+/// A row of the table. Keys sort by their bytes and have parts separated by `/`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
-    /// The row's key.
+    /// Key of the row.
     pub key: String,
-    /// Counts up with every change of the row; never 0.
+    /// Incremented with every change of the row; never 0.
     pub version: u64,
-    /// Whatever the writer put there.
+    /// Value as written.
     pub value: Bytes,
 }
 
-/// What must hold of a row for a transaction to take effect.
+/// Condition on a row for a transaction to take effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Expect {
     /// The row does not exist.
     Absent,
     /// The row exists with this version.
     Version(u64),
-    /// The row exists, whatever its version.
+    /// The row exists with any version.
     Present,
 }
 
@@ -47,21 +47,21 @@
 pub struct Check {
     /// The row's key.
     pub key: String,
-    /// What must hold of it.
+    /// The condition.
     pub expect: Expect,
 }
 
 /// A change of one row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Write {
-    /// Insert or replace it.
+    /// Inserts or replaces the row.
     Put {
         /// The row's key.
         key: String,
-        /// Its new value.
+        /// New value of the row.
         value: Bytes,
     },
-    /// Remove it, if it is there.
+    /// Removes the row if it exists.
     Delete {
         /// The row's key.
         key: String,
@@ -69,7 +69,7 @@
 }
 
 impl Write {
-    /// The key of the row that it changes.
+    /// Returns the key of the row that is changed.
     pub fn key(&self) -> &str {
         match self {
             Self::Put { key, .. } | Self::Delete { key } => key,
@@ -77,12 +77,12 @@
     }
 }
 
-/// Changes that take effect together, and only if every check holds.
+/// Changes that take effect atomically if every check holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Transaction {
-    /// What must hold.
+    /// Conditions on rows.
     pub checks: Vec<Check>,
-    /// What changes.
+    /// Changes of rows.
     pub writes: Vec<Write>,
 }
 
@@ -125,20 +125,21 @@
     }
 }
 
-/// Why the platform did not do as it was asked.
+/// An error of the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Fault {
-    /// A check failed; nothing changed. Names the first key that failed and
-    /// its present version, 0 when the row is absent.
+    /// A check failed; nothing changed. Contains the first key whose check failed
+    /// and its current version, 0 if the row is absent.
     Conflict {
         /// The key whose check failed.
         key: String,
-        /// Its present version.
+        /// Current version of the row.
         version: u64,
     },
-    /// Refused before any effect: throttled or unreachable. Come back later.
+    /// Refused before any effect, because the platform is throttled or
+    /// unreachable. Retry later.
     Refused {
-        /// When to come back.
+        /// Delay before a retry.
         retry_after: Duration,
     },
     /// The answer was lost; the change may or may not have taken effect.
@@ -149,11 +150,14 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Conflict { key, version } => {
-                write!(f, "row {key} has version {version}, not the expected one")
+                write!(
+                    f,
+                    "row {key} has version {version} instead of the expected one"
+                )
             }
             Self::Refused { retry_after } => write!(
                 f,
-                "the platform refused; come back after {} ms",
+                "the platform refused the operation; retry after {} ms",
                 retry_after.as_millis()
             ),
             Self::Unknown => f.write_str("the platform's answer was lost"),
@@ -168,93 +172,96 @@
 pub struct Page {
     /// Rows in key order.
     pub rows: Vec<Row>,
-    /// True when more rows follow the last one.
+    /// True if more rows follow the last one.
     pub more: bool,
 }
 
-/// The transactional table: several hundred writes and about two thousand
-/// reads a second for the whole fleet, with outages.
+/// The transactional table. It sustains several hundred writes and about two
+/// thousand reads per second for the whole fleet, and has outages.
 pub trait Table {
-    /// Applies the whole transaction or none of it, and returns the version
-    /// given to every row it put.
+    /// Applies the transaction atomically and returns the version given to every
+    /// row that it put.
     ///
     /// # Errors
     /// [`Fault`]; only [`Fault::Unknown`] leaves open whether it took effect.
     async fn transact(&self, transaction: Transaction) -> Result<u64, Fault>;
 
-    /// Reads one row; reads see every committed change.
+    /// Reads one row; reads reflect every committed change.
     ///
     /// # Errors
-    /// [`Fault::Refused`] or [`Fault::Unknown`] when it can't be read now.
+    /// [`Fault::Refused`] or [`Fault::Unknown`] if it cannot be read.
     async fn get(&self, key: &str) -> Result<Option<Row>, Fault>;
 
     /// Reads up to `limit` rows whose key starts with `prefix` and sorts after
-    /// `after`, in key order. One page counts as one read for each 100 rows.
+    /// `after`, in key order. A page counts as one read per 100 rows.
     ///
     /// # Errors
     /// As for [`Table::get`].
     async fn scan(&self, prefix: &str, after: &str, limit: usize) -> Result<Page, Fault>;
 }
 
-/// Every row of one table as of one version of the store.
+/// All rows of one table as of one version of the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Snapshot {
-    /// The rows; each key is the part behind the table's name.
+    /// The rows; each key omits the table's name.
     pub rows: Vec<Row>,
-    /// The newest version that the rows reflect.
+    /// The newest version reflected in the rows.
     pub version: u64,
-    /// The store's own steady clock, in milliseconds.
+    /// The store's monotonic clock, in milliseconds.
     pub clock: u64,
-    /// When the store was asked: the rows reflect all that it had then.
+    /// Time at which the request was sent to the store; the rows reflect
+    /// everything committed until then.
     pub asked: Option<Uptime>,
 }
 
-/// One row that changed.
+/// A change of one row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// The row's key behind the table's name.
+    /// Key of the row without the table's name.
     pub key: String,
-    /// The version that the change gave it.
+    /// Version that the change gave to the row.
     pub version: u64,
-    /// The new value; none when the row was removed.
+    /// New value; `None` if the row was removed.
     pub value: Option<Bytes>,
 }
 
-/// The changes of a table since a version.
+/// Changes of a table since a version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Changes {
-    /// In the order in which they were made.
+    /// Changes in the order in which they were made.
     pub changes: Vec<Change>,
-    /// Where to go on.
+    /// Version to continue from.
     pub version: u64,
-    /// The store's own steady clock when it said so, in milliseconds.
+    /// The store's monotonic clock at its answer, in milliseconds.
     pub clock: u64,
-    /// How long ago the store said so; not zero where another node passed it on.
+    /// Age of the store's answer; not zero if another node forwarded it.
     pub age: Duration,
-    /// How long ago the store last failed to answer the node that passed it on.
+    /// How long ago the store last failed to answer the node that forwarded this.
     pub failed_ago: Option<Duration>,
-    /// How long before it was passed on the store had been asked; none where
-    /// the store told it itself.
+    /// How long before forwarding the request was sent to the store; `None` if
+    /// the store answered directly.
     #[serde(default)]
     pub asked_ago: Option<Duration>,
-    /// When the store was asked, by this VM's clock: these are all changes that
-    /// it had then. An answer's own time would promise too much, since a change
-    /// may come between the store's reading and its answer's arrival.
+    /// Time at which the request was sent to the store, by this VM's clock; these
+    /// are all changes committed until then. The time of the answer would be too
+    /// late, since a change may be committed between the store's read and the
+    /// arrival of its answer.
     #[serde(skip)]
     pub asked: Option<Uptime>,
 }
 
-/// Why a feed gave no changes.
+/// Reason why a feed returned no changes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FeedError {
-    /// The history behind that version was dropped; take a new snapshot.
+    /// The history before that version was dropped; take a new snapshot.
     Gone,
-    /// The store did not answer as it should.
+    /// The store did not answer or failed.
     Fault(Fault),
 }
 
-/// Following a table, so that a node learns of changes without reading it over
-/// and over. docs/design/table.md tells how gaps and stale answers are met.
+/// Follows a table, so that a node learns of changes without reading it
+/// repeatedly. docs/design/table.md describes how gaps and stale answers are
+/// handled.
 pub trait Feed {
     /// Reads the whole table.
     ///
@@ -265,7 +272,7 @@
     /// Waits up to `wait` for changes after `version`.
     ///
     /// # Errors
-    /// [`FeedError::Gone`] when the changes can't be told any more.
+    /// [`FeedError::Gone`] if the changes are no longer available.
     async fn changes(
         &self,
         table: &str,
@@ -274,8 +281,7 @@
     ) -> Result<Changes, FeedError>;
 }
 
-/// The object store. An object never changes once it is there: names carry
-/// whatever makes them unique.
+/// The object store. Objects are immutable, and their names must be unique.
 pub trait Store {
     /// Stores an object; storing the same name again replaces it.
     ///
@@ -283,33 +289,33 @@
     /// [`Fault::Refused`] or [`Fault::Unknown`].
     async fn put(&self, name: &str, value: Bytes) -> Result<(), Fault>;
 
-    /// Reads an object, or nothing if it is absent.
+    /// Reads an object; `None` if it is absent.
     ///
     /// # Errors
     /// [`Fault::Refused`] or [`Fault::Unknown`].
     async fn get(&self, name: &str) -> Result<Option<Bytes>, Fault>;
 
-    /// Removes an object if it is there.
+    /// Removes an object if it exists.
     ///
     /// # Errors
     /// [`Fault::Refused`] or [`Fault::Unknown`].
     async fn delete(&self, name: &str) -> Result<(), Fault>;
 }
 
-/// A VM as the platform's lagging list has it.
+/// A VM on the platform's list, which lags behind.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vm {
-    /// The node's name.
+    /// Name of the node.
     pub name: Name,
-    /// Where other nodes send it requests, as ip:port.
+    /// Address for requests from other nodes, as ip:port.
     pub link: Name,
-    /// Where other nodes send it control messages, as ip:port.
+    /// Address for control messages from other nodes, as ip:port.
     pub control: Name,
-    /// Where callers reach it, as ip:port.
+    /// Address for callers, as ip:port.
     pub address: Name,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: Name,
-    /// True when the platform is taking it away.
+    /// True if the platform is about to remove the VM.
     pub leaving: bool,
 }
 
@@ -324,9 +330,9 @@
 
 /// The rate-limited weight store, from which endpoints load models.
 pub trait Weight {
-    /// Asks for the right to load one model now.
+    /// Requests permission to load one model now.
     ///
     /// # Errors
-    /// [`Fault::Refused`] with when to come back, or [`Fault::Unknown`].
+    /// [`Fault::Refused`] with a retry delay, or [`Fault::Unknown`].
     async fn admit(&self, model: &str) -> Result<(), Fault>;
 }
--- a/src/table/fault.rs
+++ b/src/table/fault.rs
@@ -1,7 +1,8 @@
-//! Limits and injected faults of the platform's stand-in, as a pure decision.
+//! Limits and injected faults of the platform's stand-in, as a pure state
+//! machine.
 //!
-//! [`Injector::decide`] says for each operation whether it is refused, delayed, or
-//! loses its answer. Everything that is random comes from one seed, so that a
+//! [`Injector::decide`] determines for each operation whether it is refused,
+//! delayed, or loses its answer. All randomness comes from one seed, so that a
 //! failure found in a test can be replayed.
 
 use std::collections::VecDeque;
@@ -15,51 +16,51 @@
 use crate::clock::Time;
 use crate::name::Name;
 
-/// When to come back after an outage refused an operation.
+/// Retry delay of operations that are refused during an outage.
 const OUTAGE_RETRY: Duration = Duration::from_millis(500);
-/// A bucket holds this part of a second's tokens, so that a limit of so many a
-/// second is hard over any longer time.
-const BURST_PART: f64 = 0.25;
+/// Capacity of a bucket as a fraction of its rate per second, so that a limit per
+/// second is strict over any longer time.
+const BURST_FRACTION: f64 = 0.25;
 
-/// A command that changes how the stand-in behaves, as JSON such as
+/// A command that changes the behaviour of the stand-in, as JSON such as
 /// `{"outage":{"ms":5000}}` or `"clear"`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Command {
-    /// Ends every injected fault; limits, lag and list stay.
+    /// Ends every injected fault; limits, lag and the list of VMs stay.
     Clear,
-    /// Nothing works for a time, or until [`Command::Clear`].
+    /// All operations fail for a time, or until [`Command::Clear`].
     Outage {
-        /// How long, in milliseconds; until cleared when absent.
+        /// Duration in milliseconds; until cleared if absent.
         #[serde(default)]
         ms: Option<u64>,
-        /// True to leave operations without an answer instead of refusing.
+        /// True to leave operations unanswered instead of refusing them.
         #[serde(default)]
         silent: bool,
     },
-    /// Each operation takes longer, before it has its effect.
+    /// Delays each operation before it takes effect.
     Slow {
-        /// Least delay in milliseconds; 0 ends it.
+        /// Minimum delay in milliseconds; 0 ends it.
         ms: u64,
-        /// Random addition of up to this many milliseconds.
+        /// Additional random delay of up to this many milliseconds.
         #[serde(default)]
         jitter_ms: u64,
     },
-    /// Bounds on operations of the table and the store together.
+    /// Rate limits for operations of the table and the object store together.
     Limit {
-        /// Rows and objects written a second; 0 is no bound.
+        /// Rows and objects written per second; 0 means unlimited.
         writes: u32,
-        /// Reads a second; 0 is no bound.
+        /// Reads per second; 0 means unlimited.
         reads: u32,
     },
     /// The next writes of matching keys lose their answers.
     Lose {
-        /// What a row's key or an object's name starts with.
+        /// Prefix of the row's key or the object's name.
         #[serde(default)]
         prefix: String,
-        /// How many writes.
+        /// Number of writes.
         count: u32,
-        /// True when they have no effect either.
+        /// True if they do not take effect either.
         #[serde(default)]
         before: bool,
     },
@@ -67,78 +68,79 @@
     LoseSome {
         /// From 0 to 1.
         probability: f64,
-        /// The part of them that has no effect either, from 0 to 1.
+        /// Fraction of them that does not take effect either, from 0 to 1.
         #[serde(default)]
         before: f64,
     },
-    /// How far the list of VMs lags.
+    /// Lag of the list of VMs.
     Lag {
         /// In milliseconds.
         ms: u64,
     },
-    /// Loads that the weight store admits.
+    /// Rate limit of the weight store.
     Weight {
-        /// Loads a minute; 0 is no bound.
+        /// Loads per minute; 0 means unlimited.
         per_minute: u32,
-        /// Loads that may follow each other at once.
+        /// Loads admitted in one burst.
         burst: u32,
     },
-    /// Puts a VM into the list.
+    /// Adds a VM to the list.
     Register(Vm),
-    /// The platform announces that it takes a VM away.
+    /// The platform announces that it will remove a VM.
     Leaving {
-        /// The VM's name.
+        /// Name of the VM.
         name: Name,
     },
-    /// Takes a VM out of the list.
+    /// Removes a VM from the list.
     Remove {
-        /// The VM's name.
+        /// Name of the VM.
         name: Name,
     },
 }
 
-/// What an operation asks for.
+/// Kind of an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operation<'a> {
-    /// So many reads.
+    /// This many reads.
     Read(u32),
     /// Writes of these keys.
     Write(&'a [&'a str]),
-    /// The list of VMs or the weight store, which have no share in the limits.
+    /// The list of VMs or the weight store, to which the rate limits do not
+    /// apply.
     Other,
 }
 
-/// What becomes of an operation.
+/// Decision about an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It is refused before any effect.
+    /// It is refused without any effect.
     Refuse {
-        /// When to come back.
+        /// Delay before a retry.
         retry_after: Duration,
     },
     /// It has no effect and gets no answer.
     NoAnswer,
-    /// It goes on after a delay.
+    /// It proceeds after a delay.
     Proceed {
-        /// The delay before its effect.
+        /// Delay before its effect.
         delay: Duration,
-        /// What becomes of its effect and its answer.
-        fate: Delivery,
+        /// Whether its request and answer are delivered.
+        delivery: Delivery,
     },
 }
 
-/// What becomes of a write and its answer.
+/// Delivery of a write request and its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// Both arrive.
+    /// Both are delivered.
     Answered,
-    /// It takes effect and the answer is lost.
+    /// The write takes effect and its answer is lost.
     AnswerLost,
-    /// It is lost before it takes effect.
+    /// The request is lost and has no effect.
     RequestLost,
 }
 
-/// A hard token bucket; a rate of 0 admits everything.
+/// A strict token bucket; a rate of 0 admits everything.
 #[derive(Clone, Debug)]
 pub struct Bucket {
     per_second: f64,
@@ -148,7 +150,7 @@
 }
 
 impl Bucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn new(now: Time, per_second: f64, burst: f64) -> Self {
         Self {
             per_second,
@@ -158,19 +160,19 @@
         }
     }
 
-    /// Takes `count` tokens, or says after which time to ask again.
+    /// Takes `count` tokens.
     ///
-    /// A count above the whole bucket passes when the bucket is full and leaves
-    /// it in debt; otherwise it could never pass.
+    /// A count above the capacity is admitted when the bucket is full and leaves
+    /// it in debt; otherwise it could never be admitted.
     ///
     /// # Errors
-    /// The time until enough tokens will be there.
+    /// The time until enough tokens are available.
     pub fn take(&mut self, now: Time, count: f64) -> Result<(), Duration> {
         if self.per_second <= 0.0 {
             return Ok(());
         }
-        let grown = now.since(self.at).as_secs_f64() * self.per_second;
-        self.tokens = (self.tokens + grown).min(self.burst);
+        let refilled = now.since(self.at).as_secs_f64() * self.per_second;
+        self.tokens = (self.tokens + refilled).min(self.burst);
         self.at = self.at.max(now);
         let need = count.min(self.burst);
         if self.tokens >= need {
@@ -190,7 +192,7 @@
     before: bool,
 }
 
-/// Decides the fate of each operation.
+/// Decides about each operation.
 #[derive(Debug)]
 pub struct Injector {
     random: ChaCha8Rng,
@@ -201,12 +203,12 @@
     writes: Bucket,
     reads: Bucket,
     losses: VecDeque<Loss>,
-    lose_some: f64,
-    lose_before: f64,
+    loss_probability: f64,
+    request_loss_fraction: f64,
 }
 
 impl Injector {
-    /// A gate without faults or limits.
+    /// Creates an injector without faults or limits.
     pub fn new(now: Time, seed: u64) -> Self {
         Self {
             random: ChaCha8Rng::seed_from_u64(seed),
@@ -217,13 +219,13 @@
             writes: Bucket::new(now, 0.0, 0.0),
             reads: Bucket::new(now, 0.0, 0.0),
             losses: VecDeque::new(),
-            lose_some: 0.0,
-            lose_before: 0.0,
+            loss_probability: 0.0,
+            request_loss_fraction: 0.0,
         }
     }
 
-    /// Changes the faults; commands that concern the list or the weight store
-    /// are not for the gate and change nothing here.
+    /// Changes the faults; commands for the list of VMs or the weight store have
+    /// no effect here.
     pub fn command(&mut self, now: Time, command: &Command) {
         match command {
             Command::Clear => {
@@ -231,7 +233,7 @@
                 self.slow = Duration::ZERO;
                 self.jitter = Duration::ZERO;
                 self.losses.clear();
-                self.lose_some = 0.0;
+                self.loss_probability = 0.0;
             }
             Command::Outage { ms, silent } => {
                 let until = ms.map_or(Time::MAX, |ms| now + Duration::from_millis(ms));
@@ -243,8 +245,8 @@
                 self.jitter = Duration::from_millis(*jitter_ms);
             }
             Command::Limit { writes, reads } => {
-                self.writes = limit(now, *writes);
-                self.reads = limit(now, *reads);
+                self.writes = rate_limit(now, *writes);
+                self.reads = rate_limit(now, *reads);
             }
             Command::Lose {
                 prefix,
@@ -259,8 +261,8 @@
                 probability,
                 before,
             } => {
-                self.lose_some = probability.clamp(0.0, 1.0);
-                self.lose_before = before.clamp(0.0, 1.0);
+                self.loss_probability = probability.clamp(0.0, 1.0);
+                self.request_loss_fraction = before.clamp(0.0, 1.0);
             }
             Command::Lag { .. }
             | Command::Weight { .. }
@@ -270,8 +272,8 @@
         }
     }
 
-    /// Says what becomes of one operation.
-    pub fn decide(&mut self, now: Time, ask: Operation<'_>) -> Decision {
+    /// Decides about one operation.
+    pub fn decide(&mut self, now: Time, operation: Operation<'_>) -> Decision {
         if self.outage_until.is_some_and(|until| now < until) {
             return if self.silent {
                 Decision::NoAnswer
@@ -281,7 +283,7 @@
                 }
             };
         }
-        let taken = match ask {
+        let taken = match operation {
             Operation::Read(count) => self.reads.take(now, f64::from(count)),
             Operation::Write(keys) => self.writes.take(now, keys.len().max(1) as f64),
             Operation::Other => Ok(()),
@@ -290,17 +292,17 @@
             return Decision::Refuse { retry_after };
         }
         let jitter = self.jitter.mul_f64(self.random.random::<f64>());
-        let fate = match ask {
-            Operation::Write(keys) => self.fate(keys),
+        let delivery = match operation {
+            Operation::Write(keys) => self.delivery(keys),
             Operation::Read(_) | Operation::Other => Delivery::Answered,
         };
         Decision::Proceed {
             delay: self.slow + jitter,
-            fate,
+            delivery,
         }
     }
 
-    fn fate(&mut self, keys: &[&str]) -> Delivery {
+    fn delivery(&mut self, keys: &[&str]) -> Delivery {
         let lost = self
             .losses
             .iter_mut()
@@ -312,8 +314,8 @@
         self.losses.retain(|loss| loss.count > 0);
         let lost = lost.or_else(|| {
             self.random
-                .random_bool(self.lose_some)
-                .then(|| self.random.random_bool(self.lose_before))
+                .random_bool(self.loss_probability)
+                .then(|| self.random.random_bool(self.request_loss_fraction))
         });
         match lost {
             Some(true) => Delivery::RequestLost,
@@ -323,7 +325,7 @@
     }
 }
 
-fn limit(now: Time, per_second: u32) -> Bucket {
+fn rate_limit(now: Time, per_second: u32) -> Bucket {
     let rate = f64::from(per_second);
-    Bucket::new(now, rate, (rate * BURST_PART).max(1.0))
+    Bucket::new(now, rate, (rate * BURST_FRACTION).max(1.0))
 }
--- a/src/table/http.rs
+++ b/src/table/http.rs
@@ -1,8 +1,8 @@
-//! The platform over HTTP.
+//! HTTP client of the platform.
 //!
-//! The client tells a call that surely had no effect (the connection was
-//! refused, or the platform answered so) from one whose answer was lost. To
-//! take the second for the first would run work twice; see
+//! The client distinguishes a call that certainly had no effect (the connection
+//! was refused, or the platform answered so) from one whose answer was lost. If
+//! the second were treated as the first, work would run twice; see
 //! docs/design/table.md.
 
 use std::net::SocketAddr;
@@ -16,9 +16,9 @@
 use super::{Fault, Vm};
 use crate::http;
 
-/// When to come back after the platform could not be connected to.
-const CONNECT_RETRY: Duration = Duration::from_millis(500);
-/// How long to wait for an answer when the maker of a client names no bound.
+/// Retry delay after a failed connection to the platform.
+const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Default timeout of a call.
 pub const TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A client for one thread; clones share its connections.
@@ -30,8 +30,8 @@
 }
 
 impl Client {
-    /// A client of the platform at `address`. A call without an answer within
-    /// `timeout` ends as [`Fault::Unknown`].
+    /// Creates a client of the platform at `address`. A call without an answer
+    /// within `timeout` ends as [`Fault::Unknown`].
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         Self {
             http: http::client(timeout),
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Puts this VM into the platform's list, which platforms do by themselves
-    /// when they start a VM. The stand-in has to be told.
+    /// Adds this VM to the platform's list. Real platforms do this when they
+    /// start a VM; the stand-in needs this call.
     ///
     /// # Errors
     /// [`Fault::Refused`] or [`Fault::Unknown`]; registering again is harmless.
@@ -51,7 +51,7 @@
 
     async fn exchange(&self, body: Vec<u8>) -> Result<Bytes, Fault> {
         let sent = self.http.post(&self.url).send_body(body).await;
-        let mut answer = sent.map_err(|error| fault_of(&error))?;
+        let mut answer = sent.map_err(|error| to_fault(&error))?;
         if answer.status() != StatusCode::OK {
             return Err(Fault::Unknown);
         }
@@ -64,7 +64,7 @@
 impl Transport for Client {
     async fn call(&self, call: Call) -> Answer {
         let mut body = Vec::with_capacity(256);
-        // A call is made of plain data, so that writing it can't fail.
+        // A call is plain data, so encoding it cannot fail.
         if ciborium::into_writer(&call, &mut body).is_err() {
             return Err(Fault::Unknown);
         }
@@ -74,10 +74,10 @@
     }
 }
 
-fn fault_of(error: &SendRequestError) -> Fault {
+fn to_fault(error: &SendRequestError) -> Fault {
     if http::was_unsent(error) {
         Fault::Refused {
-            retry_after: CONNECT_RETRY,
+            retry_after: CONNECT_RETRY_DELAY,
         }
     } else {
         Fault::Unknown
--- a/src/table/memory.rs
+++ b/src/table/memory.rs
@@ -1,8 +1,8 @@
-//! The whole platform in the memory of one process, for `try`, for the
-//! stand-in program and for tests.
+//! In-memory implementation of the whole platform, for `try`, for the stand-in
+//! program and for tests.
 //!
-//! Clones share one state and may be used from several threads. Faults and
-//! limits go through [`super::fault::Injector`]; without commands there are none.
+//! Clones share one state and may be used from several threads. Faults and limits
+//! are applied by [`super::fault::Injector`]; without commands there are none.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -17,28 +17,28 @@
 use crate::clock::{Clock, Time};
 use crate::name::Name;
 
-/// Rows of a scan that count as one read.
-const ROWS_A_READ: usize = 100;
-/// Most rows that one page returns.
-const MAX_PAGE: usize = 1_000;
-/// How long an operation without an answer keeps its asker waiting.
-const SILENCE: Duration = Duration::from_secs(60);
+/// Number of scanned rows that count as one read.
+const ROWS_PER_READ: usize = 100;
+/// Maximum number of rows per page.
+const MAX_PAGE_ROWS: usize = 1_000;
+/// How long an unanswered operation keeps its caller waiting.
+const NO_ANSWER_DELAY: Duration = Duration::from_secs(60);
 
 /// Reads and writes of keys that share their first part.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
     /// Rows written or removed, and objects stored or removed.
     pub writes: u64,
-    /// Reads as the limits count them.
+    /// Reads as counted by the rate limits.
     pub reads: u64,
 }
 
-/// What the platform has been asked since it started.
+/// Operations of the platform since it was started.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
     /// Rows and objects written or removed by operations that took effect.
     pub writes: u64,
-    /// Reads as the limits count them.
+    /// Reads as counted by the rate limits.
     pub reads: u64,
     /// Transactions that took effect.
     pub transactions: u64,
@@ -50,15 +50,15 @@
     pub lost: u64,
     /// Reads of the list of VMs.
     pub lists: u64,
-    /// Loads that the weight store admitted.
+    /// Loads admitted by the weight store.
     pub admitted: u64,
-    /// Loads that the weight store refused.
+    /// Loads refused by the weight store.
     pub load_refused: u64,
-    /// By the part of the key before its first `/`.
+    /// Usage by the part of the key before its first `/`.
     pub by_prefix: BTreeMap<String, Usage>,
 }
 
-/// Where the present time comes from.
+/// Source of the current time.
 #[derive(Clone, Copy, Debug)]
 enum Source {
     Real(Clock),
@@ -68,7 +68,7 @@
 #[derive(Debug)]
 struct State {
     source: Source,
-    gate: Injector,
+    injector: Injector,
     rows: BTreeMap<String, (u64, Bytes)>,
     objects: BTreeMap<String, Bytes>,
     version: u64,
@@ -86,23 +86,23 @@
 }
 
 impl Platform {
-    /// A platform without limits, faults or lag, on the real clock.
+    /// Creates a platform without limits, faults or lag, on the real clock.
     pub fn new(seed: u64) -> Self {
-        Self::on(Source::Real(Clock::start()), seed)
+        Self::with_source(Source::Real(Clock::start()), seed)
     }
 
-    /// The same in virtual time, which [`Platform::set_time`] moves. Injected
-    /// slowness has no effect on it.
+    /// Creates a platform in virtual time, which [`Platform::set_time`] advances.
+    /// Injected delays have no effect on it.
     pub fn in_virtual_time(now: Time, seed: u64) -> Self {
-        Self::on(Source::Virtual(now), seed)
+        Self::with_source(Source::Virtual(now), seed)
     }
 
-    fn on(source: Source, seed: u64) -> Self {
+    fn with_source(source: Source, seed: u64) -> Self {
         let now = source.now();
         Self {
             state: Arc::new(Mutex::new(State {
                 source,
-                gate: Injector::new(now, seed),
+                injector: Injector::new(now, seed),
                 rows: BTreeMap::new(),
                 objects: BTreeMap::new(),
                 version: 0,
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Moves virtual time; without effect on the real clock.
+    /// Sets the virtual time; no effect on the real clock.
     pub fn set_time(&self, now: Time) {
         let mut state = self.lock();
         if let Source::Virtual(at) = &mut state.source {
@@ -123,47 +123,47 @@
         }
     }
 
-    /// Obeys a command, see [`Command`].
+    /// Executes a command; see [`Command`].
     pub fn command(&self, command: &Command) {
         self.lock().command(command);
     }
 
-    /// What was asked so far.
+    /// Returns the counts of operations so far.
     pub fn counts(&self) -> Counts {
         self.lock().counts.clone()
     }
 
-    /// Puts a VM into the list, as the platform does when it starts one.
+    /// Adds a VM to the list, as the platform does when it starts one.
     pub fn register(&self, vm: Vm) {
         self.lock().command(&Command::Register(vm));
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        // No code between lock and unlock can leave the state half changed.
+        // No code that holds the lock can leave the state inconsistent.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl Transport for Platform {
     async fn call(&self, call: Call) -> Answer {
-        let (verdict, real) = {
+        let (decision, real) = {
             let mut state = self.lock();
-            let verdict = state.judge(&call);
-            (verdict, matches!(state.source, Source::Real(_)))
+            let decision = state.decide(&call);
+            (decision, matches!(state.source, Source::Real(_)))
         };
-        match verdict {
+        match decision {
             Decision::Refuse { retry_after } => Err(Fault::Refused { retry_after }),
             Decision::NoAnswer => {
                 if real {
-                    actix_rt::time::sleep(SILENCE).await;
+                    actix_rt::time::sleep(NO_ANSWER_DELAY).await;
                 }
                 Err(Fault::Unknown)
             }
-            Decision::Proceed { delay, fate } => {
+            Decision::Proceed { delay, delivery } => {
                 if real && !delay.is_zero() {
                     actix_rt::time::sleep(delay).await;
                 }
-                self.lock().apply(call, fate)
+                self.lock().apply(call, delivery)
             }
         }
     }
@@ -206,25 +206,25 @@
             | Command::Slow { .. }
             | Command::Limit { .. }
             | Command::Lose { .. }
-            | Command::LoseSome { .. } => self.gate.command(now, command),
+            | Command::LoseSome { .. } => self.injector.command(now, command),
         }
     }
 
-    /// Keeps the list as it is now, to be shown once it is old enough.
+    /// Stores the current list, to be returned once the lag has passed.
     fn publish(&mut self, now: Time) {
         let list = self.vms.values().cloned().collect();
         self.lists.push_back((now, list));
     }
 
-    fn judge(&mut self, call: &Call) -> Decision {
+    fn decide(&mut self, call: &Call) -> Decision {
         let now = self.source.now();
-        let verdict = match call {
+        let decision = match call {
             Call::Transact(transaction) => {
                 let keys: Vec<&str> = transaction.writes.iter().map(Write::key).collect();
-                self.gate.decide(now, Operation::Write(&keys))
+                self.injector.decide(now, Operation::Write(&keys))
             }
             Call::PutObject { name, .. } | Call::DeleteObject { name } => {
-                self.gate.decide(now, Operation::Write(&[name]))
+                self.injector.decide(now, Operation::Write(&[name]))
             }
             Call::Get { key } => self.read(now, key, 1),
             Call::GetObject { name } => self.read(now, name, 1),
@@ -234,53 +234,53 @@
                 limit,
             } => {
                 let rows = self.range(prefix, after).take(page_size(*limit)).count();
-                let reads = rows.div_ceil(ROWS_A_READ).max(1);
+                let reads = rows.div_ceil(ROWS_PER_READ).max(1);
                 self.read(now, prefix, u32::try_from(reads).unwrap_or(u32::MAX))
             }
             Call::List | Call::Admit { .. } | Call::Register(_) => {
-                self.gate.decide(now, Operation::Other)
+                self.injector.decide(now, Operation::Other)
             }
         };
-        if matches!(verdict, Decision::Refuse { .. }) {
+        if matches!(decision, Decision::Refuse { .. }) {
             self.counts.refused += 1;
         }
-        verdict
+        decision
     }
 
     fn read(&mut self, now: Time, key: &str, reads: u32) -> Decision {
-        let verdict = self.gate.decide(now, Operation::Read(reads));
-        if matches!(verdict, Decision::Proceed { .. }) {
+        let decision = self.injector.decide(now, Operation::Read(reads));
+        if matches!(decision, Decision::Proceed { .. }) {
             self.counts.reads += u64::from(reads);
-            self.used(key).reads += u64::from(reads);
+            self.usage_of(key).reads += u64::from(reads);
         }
-        verdict
+        decision
     }
 
-    fn used(&mut self, key: &str) -> &mut Usage {
+    fn usage_of(&mut self, key: &str) -> &mut Usage {
         let part = key.split('/').next().unwrap_or_default();
         self.counts.by_prefix.entry(part.to_owned()).or_default()
     }
 
-    fn wrote(&mut self, key: &str) {
+    fn count_write(&mut self, key: &str) {
         self.counts.writes += 1;
-        self.used(key).writes += 1;
+        self.usage_of(key).writes += 1;
     }
 
-    fn apply(&mut self, call: Call, fate: Delivery) -> Answer {
-        if fate != Delivery::Answered {
+    fn apply(&mut self, call: Call, delivery: Delivery) -> Answer {
+        if delivery != Delivery::Answered {
             self.counts.lost += 1;
         }
-        if fate == Delivery::RequestLost {
+        if delivery == Delivery::RequestLost {
             return Err(Fault::Unknown);
         }
-        let answer = self.effect(call);
-        if fate == Delivery::AnswerLost {
+        let answer = self.execute(call);
+        if delivery == Delivery::AnswerLost {
             return Err(Fault::Unknown);
         }
         answer
     }
 
-    fn effect(&mut self, call: Call) -> Answer {
+    fn execute(&mut self, call: Call) -> Answer {
         match call {
             Call::Transact(transaction) => self.transact(transaction).map(Value::Version),
             Call::Get { key } => Ok(Value::Row(self.row(&key))),
@@ -290,13 +290,13 @@
                 limit,
             } => Ok(Value::Page(self.page(&prefix, &after, limit))),
             Call::PutObject { name, value } => {
-                self.wrote(&name);
+                self.count_write(&name);
                 self.objects.insert(name, value);
                 Ok(Value::Done)
             }
             Call::GetObject { name } => Ok(Value::Object(self.objects.get(&name).cloned())),
             Call::DeleteObject { name } => {
-                self.wrote(&name);
+                self.count_write(&name);
                 self.objects.remove(&name);
                 Ok(Value::Done)
             }
@@ -323,12 +323,12 @@
                 return Err(Fault::Conflict { key, version });
             }
         }
-        // One counter for all rows, so that a row that was removed and put back
-        // never shows a version that it had before.
+        // All rows share one counter, so that a row that was removed and inserted
+        // again never gets a version that it had before.
         self.version += 1;
         self.counts.transactions += 1;
         for write in transaction.writes {
-            self.wrote(write.key());
+            self.count_write(write.key());
             match write {
                 Write::Put { key, value } => {
                     self.rows.insert(key, (self.version, value));
@@ -377,12 +377,16 @@
 
     fn list(&mut self) -> Vec<Vm> {
         self.counts.lists += 1;
-        let seen = self.source.now() - self.lag;
-        while self.lists.get(1).is_some_and(|(at, _)| *at <= seen) {
+        let visible_until = self.source.now() - self.lag;
+        while self
+            .lists
+            .get(1)
+            .is_some_and(|(at, _)| *at <= visible_until)
+        {
             self.lists.pop_front();
         }
         match self.lists.front() {
-            Some((at, list)) if *at <= seen => list.clone(),
+            Some((at, list)) if *at <= visible_until => list.clone(),
             _ => Vec::new(),
         }
     }
@@ -403,5 +407,5 @@
 }
 
 fn page_size(limit: usize) -> usize {
-    limit.clamp(1, MAX_PAGE)
+    limit.clamp(1, MAX_PAGE_ROWS)
 }
--- a/src/table/protocol.rs
+++ b/src/table/protocol.rs
@@ -1,5 +1,5 @@
-//! What a client and the platform's stand-in say to each other: one CBOR
-//! [`Call`] in a POST, one CBOR [`Answer`] back.
+//! Protocol between a client and the platform's stand-in: one CBOR [`Call`] in a
+//! POST, one CBOR [`Answer`] back.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -8,11 +8,12 @@
 
 /// Path of every call.
 pub const CALL_PATH: &str = "/call";
-/// Path that takes a [`super::fault::Command`] as JSON.
+/// Path that accepts a [`super::fault::Command`] as JSON.
 pub const FAULT_PATH: &str = "/fault";
-/// Path that answers [`super::memory::Counts`] as JSON.
+/// Path that returns [`super::memory::Counts`] as JSON.
 pub const COUNTS_PATH: &str = "/counts";
-/// Largest body each way, in bytes; it bounds an object.
+/// Maximum size of a request or answer body in bytes; it limits the size of an
+/// object.
 pub const MAX_BODY: usize = 64 * 1024 * 1024;
 
 /// One operation on the platform.
@@ -22,78 +23,78 @@
     Transact(Transaction),
     /// [`super::Table::get`].
     Get {
-        /// The row's key.
+        /// Key of the row.
         key: String,
     },
     /// [`super::Table::scan`].
     Scan {
-        /// What each key starts with.
+        /// Prefix of the keys.
         prefix: String,
-        /// The key to go on after.
+        /// Key to continue after.
         after: String,
-        /// Most rows to return.
+        /// Maximum number of rows to return.
         limit: usize,
     },
     /// [`super::Store::put`].
     PutObject {
-        /// The object's name.
+        /// Name of the object.
         name: String,
-        /// The object.
+        /// Content of the object.
         value: Bytes,
     },
     /// [`super::Store::get`].
     GetObject {
-        /// The object's name.
+        /// Name of the object.
         name: String,
     },
     /// [`super::Store::delete`].
     DeleteObject {
-        /// The object's name.
+        /// Name of the object.
         name: String,
     },
     /// [`super::Roster::list`].
     List,
     /// [`super::Weight::admit`].
     Admit {
-        /// The model to load.
+        /// Model to load.
         model: String,
     },
-    /// Puts a VM into the list, as the platform does when it starts one.
+    /// Adds a VM to the list, as the platform does when it starts one.
     Register(Vm),
 }
 
-/// What a call returns when it is not refused.
+/// Result of a call that is not refused.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Value {
-    /// It is done.
+    /// The operation is done.
     Done,
-    /// The version that a transaction gave to its rows.
+    /// Version that a transaction gave to its rows.
     Version(u64),
-    /// A row, if it is there.
+    /// A row, if it exists.
     Row(Option<Row>),
     /// A page of rows.
     Page(Page),
-    /// An object, if it is there.
+    /// An object, if it exists.
     Object(Option<Bytes>),
     /// The list of VMs.
     List(Vec<Vm>),
 }
 
-/// The answer to a call.
+/// Answer to a call.
 pub type Answer = Result<Value, Fault>;
 
-/// Whatever carries a call to the platform. Each carrier is a [`Table`], a
-/// [`Store`], a [`Roster`] and a [`Weight`].
+/// Carries calls to the platform. Each transport is a [`Table`], a [`Store`], a
+/// [`Roster`] and a [`Weight`].
 pub trait Transport {
-    /// Does one operation.
+    /// Performs one operation.
     ///
     /// # Errors
-    /// As the operation's own trait says.
+    /// As documented for the operation's own trait.
     async fn call(&self, call: Call) -> Answer;
 }
 
-/// Turns the expected kind of value into a result. Any other kind means that
-/// the answer can't be understood, and so that the effect is unknown.
+/// Converts the expected kind of value into a result. Any other kind means that
+/// the answer cannot be interpreted, so the effect is unknown.
 macro_rules! expect {
     ($answer:expr, $pattern:pat => $value:expr) => {
         match $answer? {
--- a/tests/config_commit.rs
+++ b/tests/config_commit.rs
@@ -183,8 +183,8 @@
         });
         let unknown = operator(&platform).apply(stamp(1), apply(0, &["a"])).await;
         expect_that!(unknown, eq(&Err(Error::Unknown)));
-        let told: Outcome<()> = unknown.unwrap_err().into_outcome();
-        expect_that!(told.is_not_run(), eq(false));
+        let outcome: Outcome<()> = unknown.unwrap_err().into_outcome();
+        expect_that!(outcome.is_not_run(), eq(false));
     });
 }
 
@@ -197,9 +197,9 @@
             silent: false,
         });
         let refused = operator(&platform).apply(stamp(1), apply(0, &["a"])).await;
-        let told: Outcome<()> = refused.unwrap_err().into_outcome();
+        let outcome: Outcome<()> = refused.unwrap_err().into_outcome();
         expect_that!(
-            told,
+            outcome,
             pat!(Outcome::NotRun(pat!(auburnspoke::outcome::Refusal {
                 reason: eq(&Reason::Platform),
                 retry_after: some(anything()),
--- a/tests/config_fleet.rs
+++ b/tests/config_fleet.rs
@@ -59,7 +59,7 @@
         expect_that!(env::refusal(&refused)["notRun"], eq(&json!(true)));
     }
     expect_that!(fleet.plain_counts(0)["arrived"], eq(&before));
-    env::until("the node knows the change", || {
+    env::until("the node learns of the change", || {
         let refused = ask(&fleet, 0).unwrap_err();
         env::refusal(&refused)["reason"] == "REASON_UNKNOWN_SERVICE"
     });
--- a/tests/name.rs
+++ b/tests/name.rs
@@ -1,4 +1,4 @@
-//! Names that may and may not be chosen.
+//! Valid and invalid names.
 
 use auburnspoke::name;
 use googletest::prelude::*;
--- a/tests/platform_http.rs
+++ b/tests/platform_http.rs
@@ -1,4 +1,4 @@
-//! The platform over HTTP: what a client may conclude from a broken call.
+//! The platform over HTTP: what a client may infer from a failed call.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use googletest::prelude::*;
 use tokio::sync::watch;
 
-/// Serves a platform for as long as the runtime lives.
+/// Serves a platform until the runtime ends.
 fn serve() -> (Platform, SocketAddr) {
     let listener = http::listen("127.0.0.1:0".parse().unwrap()).unwrap();
     let address = listener.local_addr().unwrap();
@@ -26,7 +26,7 @@
     (platform, address)
 }
 
-/// Runs `body` beside a platform.
+/// Runs `body` with a running platform.
 fn with_platform<F, B>(body: B)
 where
     B: FnOnce(Platform, Client) -> F,
@@ -69,8 +69,8 @@
 
 #[gtest]
 fn call_answer_lost() {
-    // The connection breaks after the platform has made the change. A caller
-    // that took this for a refusal would do its work a second time.
+    // The connection breaks after the platform has committed the change. A caller
+    // that treats this as a refusal would repeat its work.
     with_platform(|platform, client| async move {
         platform.command(&lose(false));
         expect_that!(client.transact(put()).await, eq(&Err(Fault::Unknown)));
@@ -80,8 +80,8 @@
 
 #[gtest]
 fn call_silent() {
-    // The platform takes the call and never answers. The caller must not wait
-    // for ever, and must not believe that nothing happened.
+    // The platform accepts the call and never answers. The call must time out,
+    // and its outcome must be reported as unknown.
     with_platform(|platform, client| async move {
         platform.command(&Command::Outage {
             ms: None,
@@ -106,8 +106,8 @@
 
 #[gtest]
 fn call_not_listening() {
-    // Nobody listens at the platform's address, so that nothing was sent and a
-    // caller may be told for certain that its request did not run.
+    // Nothing listens at the platform's address, so nothing was sent and the call
+    // must be reported as not run.
     let closed: SocketAddr = {
         let listener = http::listen("127.0.0.1:0".parse().unwrap()).unwrap();
         listener.local_addr().unwrap()
@@ -121,9 +121,9 @@
 
 #[gtest]
 fn call_connection_closed_unanswered() {
-    // The platform dies between the request and its answer. The client library
-    // reports this under the errors of connecting, although the request has
-    // been sent; a caller that believed it would repeat a change.
+    // The platform crashes between the request and its answer. The HTTP library
+    // reports this as a connect error although the request was sent; a caller
+    // that relied on that would repeat a change.
     actix_rt::System::new().block_on(async {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
--- a/tests/platform_memory.rs
+++ b/tests/platform_memory.rs
@@ -1,5 +1,5 @@
-//! The platform in memory: transactions, scans, limits, the lagging list and
-//! the weight store.
+//! The in-memory platform: transactions, scans, limits, the lagging list and the
+//! weight store.
 
 use std::time::Duration;
 
@@ -17,12 +17,14 @@
     Platform::in_virtual_time(START, 7)
 }
 
-/// In virtual time every operation ends at once.
+/// Polls an operation once; in virtual time every operation completes at once.
 fn now<F>(future: F) -> F::Output
 where
     F: Future,
 {
-    future.now_or_never().expect("it ends at once")
+    future
+        .now_or_never()
+        .expect("the operation did not complete at once")
 }
 
 fn put(platform: &Platform, key: &str) -> std::result::Result<u64, Fault> {
@@ -47,8 +49,8 @@
 
 #[gtest]
 fn transact_reinserted() {
-    // A row is removed and put back while a slow writer still holds its first
-    // version. If versions began anew, that writer would overwrite the new row.
+    // A row is removed and inserted again while a slow writer still has its first
+    // version. If versions restarted, that writer would overwrite the new row.
     let platform = platform();
     let first = put(&platform, "a").unwrap();
     now(platform.transact(Transaction::default().delete("a"))).unwrap();
@@ -99,7 +101,8 @@
         platform.set_time(START + Duration::from_millis(milli));
         done += u64::from(put(&platform, "a").is_ok());
     }
-    // Ten seconds of 100 and the quarter second that the bucket holds.
+    // Ten seconds at 100 per second and the quarter second of tokens in the
+    // bucket.
     expect_that!(done, all![ge(1_000), le(1_026)]);
     expect_that!(platform.counts().writes, eq(done));
 }
