--- a/src/batch/accept.rs
+++ b/src/batch/accept.rs
@@ -191,8 +191,8 @@
     /// check each node that is cut off would hold a caller for the connect timeout of half a
     /// second, out of the 0.8 s within which a job should be accepted.
     fn is_store_unreachable(&self) -> bool {
-        let heard = self.registry.borrow().synced_at();
-        heard.is_none_or(|at| self.now().since(at) > MAX_STORE_SILENCE)
+        let synced_at = self.registry.borrow().synced_at();
+        synced_at.is_none_or(|at| self.now().since(at) > MAX_STORE_SILENCE)
     }
 
     /// Stores a job's items. Storing the same object again is harmless.
--- a/src/batch/orphan.rs
+++ b/src/batch/orphan.rs
@@ -33,7 +33,7 @@
     let owners = view.owners();
     let registry = jobs.registry.borrow();
     let mut orphans = jobs.orphans.borrow_mut();
-    let mut mine = Vec::new();
+    let mut claimable = Vec::new();
     for (job, entry) in registry.iter() {
         if entry.record.is_finished() {
             orphans.remove(job);
@@ -44,7 +44,7 @@
             orphans.remove(job);
             // Its registration took effect although the store's answer was lost.
             if !jobs.works.borrow().contains_key(job) {
-                mine.push((job.clone(), entry.clone()));
+                claimable.push((job.clone(), entry.clone()));
             }
             continue;
         }
@@ -58,10 +58,10 @@
         let turn = view.rank(job, &jobs.setup.me);
         let pause = jobs.claim_after.borrow().get(job).copied();
         if now.since(since) >= CLAIM_TURN * turn && pause.is_none_or(|until| now >= until) {
-            mine.push((job.clone(), entry.clone()));
+            claimable.push((job.clone(), entry.clone()));
         }
     }
-    for (job, entry) in mine {
+    for (job, entry) in claimable {
         if jobs.claiming.borrow_mut().insert(job.clone()) {
             let jobs = Rc::clone(jobs);
             actix_rt::spawn(async move {
--- a/src/batch/read.rs
+++ b/src/batch/read.rs
@@ -164,8 +164,8 @@
 
     /// Returns true if this node would have seen a newer result.
     fn is_current(&self, record: &Record) -> bool {
-        let heard = self.registry.borrow().synced_at();
-        self.is_mine(record) || heard.is_some_and(|at| self.now().since(at) < MAX_STALENESS)
+        let synced_at = self.registry.borrow().synced_at();
+        self.is_mine(record) || synced_at.is_some_and(|at| self.now().since(at) < MAX_STALENESS)
     }
 
     /// Finds a job that `reader` may see.
--- a/src/batch/shell.rs
+++ b/src/batch/shell.rs
@@ -182,10 +182,10 @@
                 registry.remove(&change.key, change.version);
             }
         }
-        let said = self.now() - changes.age;
+        let synced_at = self.now() - changes.age;
         self.registry
             .borrow_mut()
-            .synced(said, changes.version, changes.clock);
+            .synced(synced_at, changes.version, changes.clock);
     }
 
     fn apply_row(self: &Rc<Self>, job: &Name, version: u64, value: &[u8]) {
@@ -272,16 +272,16 @@
         while self.pending.get() < MAX_PENDING {
             let now = self.now();
             let busy = self.busy_by_organisation();
-            let part = busy.values().sum::<usize>() / busy.len().max(1);
-            let has_part = |work: &Work| {
+            let share = busy.values().sum::<usize>() / busy.len().max(1);
+            let has_share = |work: &Work| {
                 busy.get(&work.organisation_hash())
-                    .is_some_and(|has| *has > part)
+                    .is_some_and(|has| *has > share)
             };
             let works = self.works.borrow();
             let next = works
                 .values()
                 .filter_map(|work| Some((work.next(now, &self.estimator)?, work)))
-                .min_by_key(|((urgency, _), work)| (has_part(work), *urgency))
+                .min_by_key(|((urgency, _), work)| (has_share(work), *urgency))
                 .map(|((_, item), work)| (Rc::clone(work), item));
             drop(works);
             let Some((work, item)) = next else {
--- a/src/job/chunk.rs
+++ b/src/job/chunk.rs
@@ -76,7 +76,7 @@
         items: I,
         at_most_once: bool,
         max_attempts: u32,
-        left: &[Entry],
+        entries: &[Entry],
     ) -> Self
     where
         I: IntoIterator<Item = Item>,
@@ -101,7 +101,7 @@
             logged: Vec::new(),
             running: 0,
         };
-        for entry in left {
+        for entry in entries {
             chunk.replay(entry);
         }
         chunk.fail_marked(&held.marked);
--- a/src/job/runner.rs
+++ b/src/job/runner.rs
@@ -102,7 +102,7 @@
     flush: Flush,
     works: BTreeMap<u64, Work>,
     next_work: u64,
-    services: BTreeMap<Name, Search>,
+    services: BTreeMap<Name, Backlog>,
     watch: Watch,
     timers: Timers,
     weights: BTreeMap<Name, u32>,
@@ -125,7 +125,7 @@
 }
 
 /// The runner's state of one service.
-struct Search {
+struct Backlog {
     index: Index,
     scheduler: Scheduler,
     scanned: Time,
@@ -252,8 +252,8 @@
         match input {
             Input::Cancelled(id) => self.drop_job(&id),
             Input::Weights(weights) => {
-                for search in self.services.values_mut() {
-                    search.scheduler.set_weights(weights.clone());
+                for backlog in self.services.values_mut() {
+                    backlog.scheduler.set_weights(weights.clone());
                 }
                 self.weights = weights;
             }
@@ -261,8 +261,8 @@
                 let now = self.now();
                 let poll = self.setting.poll_interval;
                 let wait = self.jitter(ACCEPTED_JITTER);
-                if let Some(search) = self.services.get_mut(&service) {
-                    search.scanned = search.scanned.min((now + wait) - poll);
+                if let Some(backlog) = self.services.get_mut(&service) {
+                    backlog.scanned = backlog.scanned.min((now + wait) - poll);
                 }
             }
         }
--- a/src/job/runner/claim.rs
+++ b/src/job/runner/claim.rs
@@ -36,7 +36,7 @@
     service: Name,
     row: String,
     items: u32,
-    got: Option<Work>,
+    work: Option<Work>,
     kind: Kind,
 }
 
@@ -66,10 +66,11 @@
         let waiting: usize = works.by_ref().map(|work| work.chunk.waiting()).sum();
         let claiming: usize = self.services.values().map(|s| s.claiming.len()).sum();
         let full = self.works.len() + claiming >= self.setting.max_chunks;
-        let Some(search) = self.services.get_mut(service) else {
+        let Some(backlog) = self.services.get_mut(service) else {
             return;
         };
-        if full || !search.claiming.is_empty() || waiting >= self.execute.capacity(service).max(1) {
+        if full || !backlog.claiming.is_empty() || waiting >= self.execute.capacity(service).max(1)
+        {
             return;
         }
         if self.execute.capacity(service) == 0 {
@@ -85,15 +86,15 @@
     /// Starts to read a page if the last one is old. Returns true while a read is in progress.
     fn scan(&mut self, now: Time, service: &Name) -> bool {
         let poll = self.setting.poll_interval;
-        let Some(search) = self.services.get_mut(service) else {
+        let Some(backlog) = self.services.get_mut(service) else {
             return true;
         };
-        if search.scanning || now.since(search.scanned) < poll {
-            return search.scanning;
+        if backlog.scanning || now.since(backlog.scanned) < poll {
+            return backlog.scanning;
         }
-        search.scanning = true;
-        search.scanned = now;
-        let after = search.index.cursor().to_owned();
+        backlog.scanning = true;
+        backlog.scanned = now;
+        let after = backlog.index.cursor().to_owned();
         let service = service.clone();
         let platform = self.platform.clone();
         self.tasks.spawn_local(async move {
@@ -105,12 +106,12 @@
     }
 
     pub(super) fn scanned(&mut self, scanned: Scanned) {
-        let Some(search) = self.services.get_mut(&scanned.service) else {
+        let Some(backlog) = self.services.get_mut(&scanned.service) else {
             return;
         };
-        search.scanning = false;
+        backlog.scanning = false;
         if let Ok(page) = scanned.page {
-            search.index.add_page(page);
+            backlog.index.add_page(page);
         }
     }
 
@@ -119,10 +120,10 @@
         let Some((open, kind)) = self.choose(now, service) else {
             return;
         };
-        let Some(search) = self.services.get_mut(service) else {
+        let Some(backlog) = self.services.get_mut(service) else {
             return;
         };
-        search.claiming.insert(open.row.key.clone());
+        backlog.claiming.insert(open.row.key.clone());
         let attempt = Attempt {
             open,
             kind,
@@ -135,8 +136,8 @@
         self.tasks.spawn_local(async move {
             let row = attempt.open.row.key.clone();
             let kind = attempt.kind.clone();
-            let got = attempt.run(&platform).await;
-            let items = got.as_ref().map_or(0, |work| {
+            let work = attempt.run(&platform).await;
+            let items = work.as_ref().map_or(0, |work| {
                 let numbers = work.target.job.item_range(work.held.chunk);
                 numbers.end - numbers.start
             });
@@ -144,7 +145,7 @@
                 service,
                 row,
                 items,
-                got,
+                work,
                 kind,
             }))
         });
@@ -153,8 +154,8 @@
     /// Chooses chunks of lost holders first, since they have waited longest, and then by fairness
     /// and due time.
     fn choose(&mut self, now: Time, service: &Name) -> Option<(Open, Kind)> {
-        let search = self.services.get_mut(service)?;
-        let lost = search.index.held().find_map(|(open, held)| {
+        let backlog = self.services.get_mut(service)?;
+        let lost = backlog.index.held().find_map(|(open, held)| {
             let kind = kind(
                 now,
                 &self.lease.session,
@@ -168,30 +169,30 @@
         if lost.is_some() {
             return lost;
         }
-        let free: Vec<&Open> = search.index.free().collect();
+        let free: Vec<&Open> = backlog.index.free().collect();
         let session = &self.lease.session;
         let candidates: Vec<Candidate> = free.iter().map(|open| candidate(session, open)).collect();
-        let at = search.scheduler.pick(&candidates)?;
+        let at = backlog.scheduler.pick(&candidates)?;
         Some((free[at].clone(), Kind::Free))
     }
 
     pub(super) fn claimed(&mut self, claimed: Claimed) {
         let now = self.now();
         let poll = self.setting.poll_interval;
-        let Some(search) = self.services.get_mut(&claimed.service) else {
+        let Some(backlog) = self.services.get_mut(&claimed.service) else {
             return;
         };
-        search.claiming.remove(&claimed.row);
-        search.index.remove(&claimed.row);
-        let Some(work) = claimed.got else {
+        backlog.claiming.remove(&claimed.row);
+        backlog.index.remove(&claimed.row);
+        let Some(work) = claimed.work else {
             // Retry soon, but not at once: the platform may be unreachable.
-            search.scanned = (now + poll / RETRY_DIVISOR) - poll;
+            backlog.scanned = (now + poll / RETRY_DIVISOR) - poll;
             self.count(|stats| stats.collided += 1);
             return;
         };
         // Read the index again at once, because the row has changed.
-        search.scanned = Time::ZERO;
-        search
+        backlog.scanned = Time::ZERO;
+        backlog
             .scheduler
             .charge(&work.id.organisation, claimed.items);
         let taken_over = matches!(claimed.kind, Kind::Expired(..));
@@ -212,9 +213,9 @@
         );
         let number = self.next_work;
         self.next_work += 1;
-        let over = work.chunk.is_finished();
+        let finished = work.chunk.is_finished();
         self.works.insert(number, work);
-        if over {
+        if finished {
             self.commit(number);
         }
     }
@@ -305,11 +306,11 @@
     /// but no further read of the index. `proposed` is the claim of the previous attempt: if it is
     /// in the row, that attempt has taken effect.
     fn decide(&self, lane: &Lane, proposed: &mut Option<Held>) -> Decision {
-        let mine = |held: &Held| {
+        let is_own = |held: &Held| {
             let found = lane.find_held(held.epoch);
             found.is_some_and(|found| found.session == held.session)
         };
-        if proposed.as_ref().is_some_and(mine) {
+        if proposed.as_ref().is_some_and(is_own) {
             return Decision::Applied;
         }
         let change = match self.kind {
@@ -332,14 +333,21 @@
         S: Store,
     {
         let id = self.open.id.clone();
-        let (items, left) = loop {
+        let (items, entries) = loop {
             match read(&platform.store, &target.job, &held).await {
                 Ok(found) => break found,
                 Err(fault) => tokio::time::sleep(change::retry_after(&fault)).await,
             }
         };
         let first = target.job.item_range(held.chunk).start;
-        let chunk = Chunk::new(&held, first, items, target.job.once, self.attempts, &left);
+        let chunk = Chunk::new(
+            &held,
+            first,
+            items,
+            target.job.once,
+            self.attempts,
+            &entries,
+        );
         Work {
             id,
             target,
@@ -361,9 +369,9 @@
     let items = object
         .and_then(|bytes| record::decode(&bytes))
         .ok_or(Fault::Unknown)?;
-    let mut left = Vec::new();
-    for trail in &held.trails {
-        left.extend(segment::read(store, trail, &id.hash, held.chunk).await?);
+    let mut entries = Vec::new();
+    for range in &held.trails {
+        entries.extend(segment::read(store, range, &id.hash, held.chunk).await?);
     }
-    Ok((items, left))
+    Ok((items, entries))
 }
--- a/src/job/runner/commit.rs
+++ b/src/job/runner/commit.rs
@@ -77,8 +77,8 @@
     /// Drops a chunk, and the outdated copy of its lane's row.
     fn drop_work(&mut self, number: u64) -> Option<Work> {
         let work = self.works.remove(&number)?;
-        if let Some(search) = self.services.get_mut(&work.target.job.service) {
-            search
+        if let Some(backlog) = self.services.get_mut(&work.target.job.service) {
+            backlog
                 .index
                 .remove(&work.target.job.open_lane(work.target.lane));
         }
--- a/src/job/runner/drive.rs
+++ b/src/job/runner/drive.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use super::work::Phase;
-use super::{Runner, Search};
+use super::{Backlog, Runner};
 use crate::clock::Time;
 use crate::event;
 use crate::job::change::{self, Resolution};
@@ -15,7 +15,7 @@
 use crate::name::Name;
 use crate::table::{Store, Table, Transaction};
 
-impl Search {
+impl Backlog {
     fn new(service: Name, scheduler: Scheduler, scanned: Time) -> Self {
         Self {
             index: Index::new(service),
@@ -65,8 +65,8 @@
             let mut scheduler = Scheduler::default();
             scheduler.set_weights(self.weights.clone());
             let scanned = self.now() - self.jitter(self.setting.poll_interval);
-            let search = Search::new(service.clone(), scheduler, scanned);
-            self.services.insert(service.clone(), search);
+            let backlog = Backlog::new(service.clone(), scheduler, scanned);
+            self.services.insert(service.clone(), backlog);
         }
     }
 
--- a/src/job/runner/lease.rs
+++ b/src/job/runner/lease.rs
@@ -24,7 +24,7 @@
     /// chunks needs no lease.
     pub(super) fn renew_due(&mut self, now: Time) {
         let wanted =
-            !self.works.is_empty() || self.services.values().any(super::Search::has_claimable);
+            !self.works.is_empty() || self.services.values().any(super::Backlog::has_claimable);
         let due =
             !self.lease.acquired || now.since(self.lease.renewed) >= self.setting.renew_interval;
         if self.lease.renewing || !wanted || !due {
@@ -56,8 +56,8 @@
     /// Lists all leases while the index shows chunks of other holders.
     pub(super) fn list_due(&mut self, now: Time) {
         let session = &self.lease.session;
-        let foreign = |search: &super::Search| {
-            search
+        let foreign = |backlog: &super::Backlog| {
+            backlog
                 .index
                 .held()
                 .any(|(_, held)| held.session != *session)
--- a/src/job/runner/work.rs
+++ b/src/job/runner/work.rs
@@ -82,10 +82,10 @@
 {
     /// Sends items of the service, in order of due times.
     pub(super) fn start_items(&mut self, now: Time, service: &Name) {
-        let Some(search) = self.services.get(service) else {
+        let Some(backlog) = self.services.get(service) else {
             return;
         };
-        let unpolled = search.unpolled.clone();
+        let unpolled = backlog.unpolled.clone();
         let mut room = self
             .execute
             .capacity(service)
--- a/src/job/segment.rs
+++ b/src/job/segment.rs
@@ -49,7 +49,7 @@
 /// [`Fault`] if the store cannot be read; this says nothing about the content.
 pub async fn read<S>(
     store: &S,
-    trail: &LogRange,
+    range: &LogRange,
     job: &str,
     chunk: u32,
 ) -> Result<Vec<Entry>, Fault>
@@ -57,11 +57,11 @@
     S: Store,
 {
     let mut found = Vec::new();
-    let mut sequence = trail.from;
-    while trail.until.is_none_or(|until| sequence < until) {
+    let mut sequence = range.from;
+    while range.until.is_none_or(|until| sequence < until) {
         // Segments are written in order, each after the previous one is stored, so the first
         // missing one is the end.
-        let Some(bytes) = store.get(&key::segment(&trail.session, sequence)).await? else {
+        let Some(bytes) = store.get(&key::segment(&range.session, sequence)).await? else {
             break;
         };
         let segment: Segment = record::decode(&bytes).unwrap_or_default();
--- a/tests/batch_record.rs
+++ b/tests/batch_record.rs
@@ -104,7 +104,7 @@
 /// no node has seen yet must stay within the quota unless they were ordered.
 #[gtest]
 fn must_order_any_bound() {
-    const UNHEARD: u64 = 32;
+    const UNSEEN: u64 = 32;
     for limit in [1, 100, 20_000, 1_500_000] {
         for tokens in [1, 350, 7_000, 60_000] {
             for waiting in [0, limit / 4, limit / 2, limit] {
@@ -113,7 +113,7 @@
                     waiting,
                 };
                 if !quota.must_order(tokens) {
-                    expect_that!(waiting + UNHEARD * tokens, le(limit + tokens));
+                    expect_that!(waiting + UNSEEN * tokens, le(limit + tokens));
                 }
             }
         }
--- a/tests/job_budget.rs
+++ b/tests/job_budget.rs
@@ -89,7 +89,7 @@
     run(async {
         let mut fleet = Fleet::new(2, 1);
         fleet.slots = 400;
-        fleet.took = Duration::from_secs(20);
+        fleet.item_duration = Duration::from_secs(20);
         let node = fleet.add();
         fleet.kill(0);
         for number in 0..8 {
--- a/tests/job_cancel.rs
+++ b/tests/job_cancel.rs
@@ -165,18 +165,18 @@
             fleet
                 .pass(Duration::from_micros(180_000 + step * 200))
                 .await;
-            let Outcome::Done(told) = fleet.cancel(&id).await else {
+            let Outcome::Done(reported) = fleet.cancel(&id).await else {
                 panic!("the platform answers");
             };
             let replies = fleet.read(&id).await;
             fleet.pass(Duration::from_secs(60)).await;
-            assert_eq!(fleet.state(&id).await, Some(told));
+            assert_eq!(fleet.state(&id).await, Some(reported));
             assert_eq!(fleet.read(&id).await, replies);
             let done = replies
                 .iter()
                 .filter(|reply| reply.end == End::Done)
                 .count();
-            match told {
+            match reported {
                 State::Ended => {
                     ended += 1;
                     assert_eq!(done, 4);
--- a/tests/job_lane.rs
+++ b/tests/job_lane.rs
@@ -131,25 +131,25 @@
 
 /// The next action of one of several holders.
 #[derive(Clone, Debug)]
-enum Move {
+enum Action {
     Claim,
     TakeOver(usize),
     Commit(usize),
     Release(usize),
     /// It reads the row again.
-    Look,
+    Read,
     /// It is lost, and restarts with another session.
     Crash,
 }
 
-fn moves() -> impl Strategy<Value = (usize, Move, bool)> {
+fn actions() -> impl Strategy<Value = (usize, Action, bool)> {
     let next = prop_oneof![
-        3 => Just(Move::Claim),
-        2 => (0usize..4).prop_map(Move::TakeOver),
-        3 => (0usize..4).prop_map(Move::Commit),
-        1 => (0usize..4).prop_map(Move::Release),
-        4 => Just(Move::Look),
-        1 => Just(Move::Crash),
+        3 => Just(Action::Claim),
+        2 => (0usize..4).prop_map(Action::TakeOver),
+        3 => (0usize..4).prop_map(Action::Commit),
+        1 => (0usize..4).prop_map(Action::Release),
+        4 => Just(Action::Read),
+        1 => Just(Action::Crash),
     ];
     (0usize..3, next, any::<bool>())
 }
@@ -167,7 +167,7 @@
     /// Holders act on outdated rows, are lost at any step, and lose answers. In any interleaving
     /// each chunk is committed once, its commit never changes, and no chunk has two valid holders.
     #[test]
-    fn lane_commits_each_chunk_once(moves in prop::collection::vec(moves(), 1..200), chunks in 1u32..5) {
+    fn lane_commits_each_chunk_once(actions in prop::collection::vec(actions(), 1..200), chunks in 1u32..5) {
         let mut row = (1u64, Lane::new(0, chunks));
         let mut sessions = 0;
         let mut holder = || {
@@ -180,7 +180,7 @@
         };
         let mut holders = [holder(), holder(), holder()];
         let mut done: BTreeMap<u32, Committed> = BTreeMap::new();
-        for (who, next, lost) in moves {
+        for (who, next, lost) in actions {
             let me = &mut holders[who];
             // The row changes only under the version that was read.
             let mut write = |seen: &(u64, Lane), next: Lane| {
@@ -191,9 +191,9 @@
                 fits
             };
             match next {
-                Move::Look => me.seen = row.clone(),
-                Move::Crash => *me = holder(),
-                Move::Claim => {
+                Action::Read => me.seen = row.clone(),
+                Action::Crash => *me = holder(),
+                Action::Claim => {
                     if let Some((lane, held)) = me.seen.1.claim(&me.session, 0)
                         && write(&me.seen, lane)
                         && !lost
@@ -201,7 +201,7 @@
                         me.held.push(held);
                     }
                 }
-                Move::TakeOver(at) => {
+                Action::TakeOver(at) => {
                     let epoch = me.seen.1.held.get(at).map_or(0, |held| held.epoch);
                     if let Some((lane, held)) = me.seen.1.take_over(epoch, &me.session, 0)
                         && write(&me.seen, lane)
@@ -210,7 +210,7 @@
                         me.held.push(held);
                     }
                 }
-                Move::Commit(at) => {
+                Action::Commit(at) => {
                     let Some(held) = me.held.get(at).cloned() else { continue };
                     let result = committed(held.chunk, held.epoch);
                     if let Decision::Write(lane) = me.seen.1.commit(result) {
@@ -220,7 +220,7 @@
                         }
                     }
                 }
-                Move::Release(at) => {
+                Action::Release(at) => {
                     let Some(held) = me.held.get(at).cloned() else { continue };
                     if let Decision::Write(lane) = me.seen.1.release(held.epoch, 0, &[]) {
                         write(&me.seen, lane);
@@ -248,13 +248,13 @@
     fn chunk_gives_each_item_one_result(
         count in 1u32..40,
         once in any::<bool>(),
-        fates in prop::collection::vec(0u8..10, 400),
+        outcomes in prop::collection::vec(0u8..10, 400),
         losses in 0u32..4,
     ) {
         let (_, mut held) = Lane::new(0, 1).claim(&"s".into(), 0).expect("free");
         held.losses = losses;
         let mut chunk = Chunk::new(&held, 0, items(count), once, 3, &[]);
-        let mut fates = fates.into_iter().chain(std::iter::repeat(0));
+        let mut outcomes = outcomes.into_iter().chain(std::iter::repeat(0));
         let mut now = Time::ZERO;
         let mut running: Vec<(u32, bool)> = Vec::new();
         let mut spent: BTreeMap<u32, u32> = BTreeMap::new();
@@ -286,7 +286,7 @@
             }
             for (number, alone) in std::mem::take(&mut running) {
                 let refusal = Refusal::new(Reason::EndpointFailed);
-                let outcome = match fates.next().expect("endless") {
+                let outcome = match outcomes.next().expect("endless") {
                     0..6 => Outcome::Done(Answer::default()),
                     6..8 => Outcome::NotRun(refusal),
                     _ => Outcome::MayHaveRun(refusal),
--- a/tests/job_process.rs
+++ b/tests/job_process.rs
@@ -158,8 +158,8 @@
         .expect("accepted");
     let name = json!({"job": accepted["job"]});
     std::thread::sleep(Duration::from_secs(3));
-    let told = fleet.caller(1, "CancelJob", &name).expect("answers");
-    expect_that!(told["state"], eq(&json!("JOB_STATE_CANCELLED")));
+    let reported = fleet.caller(1, "CancelJob", &name).expect("answers");
+    expect_that!(reported["state"], eq(&json!("JOB_STATE_CANCELLED")));
     // The documented bound is 10 s, plus the time to read the job's row.
     std::thread::sleep(Duration::from_secs(12));
     let arrived = || -> Vec<Value> {
--- a/tests/job_support/fleet.rs
+++ b/tests/job_support/fleet.rs
@@ -129,7 +129,7 @@
 pub struct Endpoint {
     node: usize,
     slots: usize,
-    took: Duration,
+    item_duration: Duration,
     service: Name,
     world: Rc<RefCell<World>>,
     running: Rc<Cell<usize>>,
@@ -193,7 +193,7 @@
         };
         let spread = u64::try_from(run).unwrap_or(0) % 7;
         let whole = self
-            .work(self.took + Duration::from_millis(10 * spread))
+            .work(self.item_duration + Duration::from_millis(10 * spread))
             .await;
         slot.whole = true;
         if &*prompt == "kill the endpoint" {
@@ -234,7 +234,7 @@
     pub nodes: BTreeMap<usize, Node>,
     pub setting: Setting,
     pub slots: usize,
-    pub took: Duration,
+    pub item_duration: Duration,
     next: usize,
     /// Every result as it was when first readable.
     pub readable: BTreeMap<(Id, u32), Reply>,
@@ -246,8 +246,8 @@
         Self::with(seed, nodes, Duration::from_millis(200))
     }
 
-    /// Creates a fleet whose endpoints take `took` for an item.
-    pub fn with(seed: u64, nodes: usize, took: Duration) -> Self {
+    /// Creates a fleet whose endpoints take `item_duration` for an item.
+    pub fn with(seed: u64, nodes: usize, item_duration: Duration) -> Self {
         let platform = Platform::in_virtual_time(Time::ZERO, seed);
         let remote = Remote::new(platform.clone(), seed);
         let mut fleet = Self {
@@ -258,7 +258,7 @@
             nodes: BTreeMap::new(),
             setting: Setting::default(),
             slots: 8,
-            took,
+            item_duration,
             next: 0,
             readable: BTreeMap::new(),
             origin: Instant::now(),
@@ -281,7 +281,7 @@
         let endpoint = Endpoint {
             node: number,
             slots: self.slots,
-            took: self.took,
+            item_duration: self.item_duration,
             service: service.into(),
             world: self.world.clone(),
             running: running.clone(),
