--- a/benches/wire.rs
+++ b/benches/wire.rs
@@ -1,4 +1,4 @@
-//! Processor time of the frames that carry tokens.
+//! Processor time to encode and decode the frames that carry tokens.
 
 #![allow(missing_docs)] // The group that the macro makes has none.
 
--- a/src/edge.rs
+++ b/src/edge.rs
@@ -26,7 +26,7 @@
 use crate::feed::source::{self, Source};
 use crate::leave::Phase;
 use crate::link::Pool;
-use crate::link::server::{Desk as LinkDesk, PendingQuery};
+use crate::link::server::{PendingQuery, Services};
 use crate::member::shell::{Counts, Event, Handle, Setup};
 use crate::member::tuning::Tuning;
 use crate::member::{Member, State, View};
@@ -303,13 +303,13 @@
     let (queries, queued) = mpsc::channel(QUERY_QUEUE);
     // This kind of node has no dispatchers; its links carry only queries.
     let (handle, _) = dispatch::Handle::new(1);
-    let desk = LinkDesk {
+    let services = Services {
         node: shared.me.clone(),
         handle,
         queries,
     };
     actix_rt::spawn(async move {
-        if let Err(error) = crate::link::server::serve(link, desk).await {
+        if let Err(error) = crate::link::server::serve(link, services).await {
             log::error!("{} why=\"{error}\"", event::LISTEN_FAILED);
         }
     });
--- a/src/link.rs
+++ b/src/link.rs
@@ -1,9 +1,8 @@
-//! Connections that carry requests from gateways to dispatchers on other
-//! nodes.
+//! Connections that carry requests from gateways to dispatchers on other nodes.
 //!
-//! A gateway thread keeps one connection to each peer it needs. A connection
-//! that breaks ends every request on it with what can be proved: a request
-//! still in our own queue has not run, one that was written may have.
+//! Each gateway thread keeps one connection per peer it needs. When a connection breaks, every
+//! request on it ends with what is certain: a request that is still queued locally has not run,
+//! one that was written may have run.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -26,32 +25,31 @@
 mod client;
 pub mod server;
 
-/// Frames that may wait to be written on one connection.
-const FRAMES: usize = 1_024;
-/// Pieces of one answer that may wait for its reader. The bound is an answer's
-/// own length, so a slow reader never holds up the other answers on its
-/// connection; one that is further behind is given up.
-const ANSWER_PIECES: usize = 16 * 1_024;
-/// Most time to connect and greet.
+/// Capacity of a connection's queue of outgoing frames.
+const MAX_QUEUED_FRAMES: usize = 1_024;
+/// Capacity of the channel that buffers one answer's pieces. It covers the length of a whole
+/// answer, so a slow reader never blocks the other answers on its connection; the stream of a
+/// reader that falls further behind is cancelled.
+const MAX_BUFFERED_PIECES: usize = 16 * 1_024;
+/// Longest time to connect and complete the handshake.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Bytes of each of a connection's two buffers, which are taken at once: with
-/// the library's 128 KiB a node with a thousand connections would hold 256 MiB.
-const BUFFER: usize = 8 * 1_024;
-/// After this long without a frame a connection on which something is open asks
-/// its peer for a sign of life. An idle one is not asked: with hundreds of peers
-/// that alone would be more than the control budget.
-const PING_EVERY: Duration = Duration::from_millis(500);
-/// A peer that was silent for this long while something is open is taken for
-/// gone: it is paused, cut off or dead, and requests on it must be tried
-/// elsewhere.
-const SILENCE: Duration = Duration::from_secs(2);
-/// A peer that sends enough itself is still asked this often, because it takes a
-/// gateway that says nothing for longer than that for gone.
-const PING_AT_LEAST: Duration = Duration::from_secs(2);
-/// A connection on which nothing was open for this long is closed.
-const IDLE: Duration = Duration::from_secs(60);
-/// When to come back after a link failed.
-const RETRY_AFTER: Duration = Duration::from_millis(200);
+/// Size of each of a connection's two buffers, which are allocated when it opens. With the
+/// library's 128 KiB, a node with a thousand connections would use 256 MiB.
+const BUFFER_BYTES: usize = 8 * 1_024;
+/// After this long without an incoming frame, a connection with open requests pings its peer.
+/// An idle connection sends no pings: with hundreds of peers these alone would exceed the
+/// bandwidth budget for control traffic.
+const PING_INTERVAL: Duration = Duration::from_millis(500);
+/// A peer that is silent for this long while requests are open is considered gone: it is
+/// paused, partitioned or dead, and its requests must be retried elsewhere.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Interval of pings to a peer that sends frames itself. They are needed because the peer in
+/// turn closes the connection of a silent gateway.
+const MAX_PING_INTERVAL: Duration = Duration::from_secs(2);
+/// A connection without open requests is closed after this time.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Retry delay after a link failed.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// The connections of one gateway thread.
 pub struct Pool {
@@ -65,24 +63,24 @@
     pending: RefCell<HashMap<u64, Pending>>,
     last_id: Cell<u64>,
     open: Cell<bool>,
-    /// When the last frame came.
-    heard: Cell<Instant>,
+    /// When the last frame arrived.
+    last_activity: Cell<Instant>,
 }
 
 struct Pending {
     reply: ReplyTo,
-    /// True once its frame was handed to the socket.
+    /// True once the frame has been passed to the socket.
     written: bool,
 }
 
-/// Who waits for what comes back.
+/// The receiver of the response.
 enum ReplyTo {
     Request(mpsc::Sender<Event>),
     Query(oneshot::Sender<Reply>),
 }
 
 impl Pool {
-    /// A pool without connections, for the node of that name.
+    /// Creates a pool without connections for the node of that name.
     pub fn new(node: Name) -> Rc<Self> {
         Rc::new(Self {
             node,
@@ -90,18 +88,18 @@
         })
     }
 
-    /// Sends a request to the dispatcher of `endpoint` at the peer whose link
-    /// listens at `address`, and returns what it says. Dropping the receiver
-    /// cancels the request.
+    /// Sends a request to the dispatcher of `endpoint` at the peer whose link address is
+    /// `address`, and returns the events of its answer. Dropping the receiver cancels the
+    /// request.
     pub fn submit(
         self: &Rc<Self>,
         address: &Name,
         endpoint: Name,
         request: Request,
     ) -> mpsc::Receiver<Event> {
-        let (reply, events) = mpsc::channel(ANSWER_PIECES);
+        let (reply, events) = mpsc::channel(MAX_BUFFERED_PIECES);
         let Some(peer) = self.peer(address) else {
-            let _ = reply.try_send(lost(false, "its address can't be read"));
+            let _ = reply.try_send(link_failed(false, "its address is invalid"));
             return events;
         };
         let id = peer.next_id();
@@ -111,12 +109,12 @@
             request: Box::new(request),
         };
         if !peer.send(id, frame, ReplyTo::Request(reply.clone())) {
-            peer.end(id, lost(false, "the link to the dispatcher is full"));
+            peer.finish(id, link_failed(false, "the send queue is full"));
             return events;
         }
         actix_rt::spawn(async move {
             reply.closed().await;
-            // Absent when the answer has ended, which is the usual case.
+            // Absent if the answer has ended, which is the usual case.
             if peer.pending.borrow_mut().remove(&id).is_some() {
                 let _ = peer.frames.try_send(Frame::Cancel { id });
             }
@@ -124,8 +122,8 @@
         events
     }
 
-    /// Asks the control thread of the peer whose link listens at `address`;
-    /// none when it does not answer within `wait`.
+    /// Queries the control thread of the peer whose link address is `address`; returns none if
+    /// no reply arrives within `wait`.
     pub async fn ask(
         self: &Rc<Self>,
         address: &Name,
@@ -148,13 +146,13 @@
             return Some(Rc::clone(peer));
         }
         let socket: SocketAddr = address.parse().ok()?;
-        let (frames, outgoing) = mpsc::channel(FRAMES);
+        let (frames, outgoing) = mpsc::channel(MAX_QUEUED_FRAMES);
         let peer = Rc::new(Peer {
             frames,
             pending: RefCell::default(),
             last_id: Cell::new(0),
             open: Cell::new(true),
-            heard: Cell::new(Instant::now()),
+            last_activity: Cell::new(Instant::now()),
         });
         self.peers
             .borrow_mut()
@@ -172,7 +170,7 @@
         id
     }
 
-    /// Hands a frame to the writer; false when its queue is full.
+    /// Queues a frame for the writer; returns false if the queue is full.
     fn send(&self, id: u64, frame: Frame, reply: ReplyTo) -> bool {
         let written = false;
         let pending = Pending { reply, written };
@@ -180,49 +178,47 @@
         self.frames.try_send(frame).is_ok()
     }
 
-    /// Gives a request its last word and forgets it.
-    fn end(&self, id: u64, event: Event) {
+    /// Sends a request's final event and removes the request.
+    fn finish(&self, id: u64, event: Event) {
         let pending = self.pending.borrow_mut().remove(&id);
         if let Some(ReplyTo::Request(reply)) = pending.map(|pending| pending.reply) {
             let _ = reply.try_send(event);
         }
     }
 
-    /// Gives a question its answer.
-    fn answer(&self, id: u64, answer: Reply) {
+    /// Delivers the reply to a query.
+    fn reply(&self, id: u64, answer: Reply) {
         let pending = self.pending.borrow_mut().remove(&id);
         if let Some(ReplyTo::Query(reply)) = pending.map(|pending| pending.reply) {
             let _ = reply.send(answer);
         }
     }
 
-    /// Passes on a piece; false when its reader is a whole answer behind.
-    fn piece(&self, id: u64, piece: Piece, load: Option<Load>) -> bool {
+    /// Delivers a piece; returns false if its reader is a whole answer behind.
+    fn deliver_piece(&self, id: u64, piece: Piece, load: Option<Load>) -> bool {
         match self.pending.borrow().get(&id).map(|pending| &pending.reply) {
             Some(ReplyTo::Request(reply)) => reply.try_send(Event::Piece(piece, load)).is_ok(),
-            // Late pieces of a cancelled request.
+            // A late piece of a cancelled request.
             Some(ReplyTo::Query(_)) | None => true,
         }
     }
 
-    /// Ends every request with what can be proved of it. Questions end when
-    /// their senders are dropped.
+    /// Ends every request with what is certain about it. Queries end when their senders are
+    /// dropped.
     fn close(&self, why: &str) {
         self.open.set(false);
         for (_, pending) in self.pending.borrow_mut().drain() {
             if let ReplyTo::Request(reply) = pending.reply {
-                let _ = reply.try_send(lost(pending.written, why));
+                let _ = reply.try_send(link_failed(pending.written, why));
             }
         }
     }
 }
 
-fn lost(written: bool, why: &str) -> Event {
+fn link_failed(written: bool, why: &str) -> Event {
     let refusal = Refusal::new(Reason::LinkFailed)
-        .after(RETRY_AFTER)
-        .with_message(format!(
-            "the link between two nodes failed ({why}); come back"
-        ));
+        .after(RETRY_DELAY)
+        .with_message(format!("the link between two nodes failed ({why}); retry"));
     let outcome = if written {
         Outcome::MayHaveRun(refusal)
     } else {
@@ -233,8 +229,8 @@
 
 fn socket_config() -> WebSocketConfig {
     WebSocketConfig::default()
-        .read_buffer_size(BUFFER)
-        .write_buffer_size(BUFFER)
+        .read_buffer_size(BUFFER_BYTES)
+        .write_buffer_size(BUFFER_BYTES)
         .max_message_size(Some(wire::MAX_FRAME_BYTES))
         .max_frame_size(Some(wire::MAX_FRAME_BYTES))
 }
--- a/src/link/client.rs
+++ b/src/link/client.rs
@@ -12,7 +12,10 @@
 use tokio_tungstenite::tungstenite::Message;
 use tokio_tungstenite::{WebSocketStream, client_async_with_config};
 
-use super::{CONNECT_TIMEOUT, IDLE, PING_AT_LEAST, PING_EVERY, Peer, SILENCE, socket_config};
+use super::{
+    CONNECT_TIMEOUT, IDLE_TIMEOUT, MAX_PING_INTERVAL, PING_INTERVAL, Peer, SILENCE_TIMEOUT,
+    socket_config,
+};
 use crate::dispatch::handle::Event;
 use crate::event;
 use crate::name::Name;
@@ -22,7 +25,7 @@
 type Sink = SplitSink<WebSocketStream<TcpStream>, Message>;
 type Source = SplitStream<WebSocketStream<TcpStream>>;
 
-/// Connects, carries frames until the connection breaks, and ends whatever is
+/// Connects, transfers frames until the connection breaks, and then ends all requests that are
 /// still open on it.
 pub async fn run(
     peer: Rc<Peer>,
@@ -32,7 +35,7 @@
 ) {
     let connected = timeout(CONNECT_TIMEOUT, connect(&node, address)).await;
     let why = match connected {
-        Err(_) => "connecting took too long".to_owned(),
+        Err(_) => "connecting timed out".to_owned(),
         Ok(Err(why)) => why,
         Ok(Ok((mut sink, mut source))) => {
             tokio::select! {
@@ -66,30 +69,30 @@
         .map_err(|error| error.to_string())?;
     match next(&mut source).await? {
         Some(Frame::Hello { version, .. }) if version == wire::VERSION => Ok((sink, source)),
-        _ => Err("the peer speaks another version".into()),
+        _ => Err("the peer has another protocol version".into()),
     }
 }
 
 async fn write(peer: &Peer, sink: &mut Sink, outgoing: &mut mpsc::Receiver<Frame>) -> String {
-    // The ping does not wait for a quiet moment: a peer that answers nothing
-    // for a while, because every prompt is long, must still show that it lives.
-    let mut ping = tokio::time::interval(PING_EVERY);
+    // Pings continue while requests are open: a peer that returns no pieces for a while,
+    // because every prompt is long, must still prove that it is alive.
+    let mut ping = tokio::time::interval(PING_INTERVAL);
     let mut idle_since = Instant::now();
-    let mut pinged = idle_since;
+    let mut last_ping = idle_since;
     loop {
         let sent = tokio::select! {
             _ = ping.tick() => {
                 let now = Instant::now();
                 if !peer.pending.borrow().is_empty() {
                     idle_since = now;
-                    let quiet = now - peer.heard.get() >= PING_EVERY;
-                    if quiet || now - pinged >= PING_AT_LEAST {
-                        pinged = now;
+                    let is_quiet = now - peer.last_activity.get() >= PING_INTERVAL;
+                    if is_quiet || now - last_ping >= MAX_PING_INTERVAL {
+                        last_ping = now;
                         sink.send(Message::Ping(bytes::Bytes::new())).await
                     } else {
                         Ok(())
                     }
-                } else if idle_since.elapsed() >= IDLE {
+                } else if idle_since.elapsed() >= IDLE_TIMEOUT {
                     return "idle".into();
                 } else {
                     Ok(())
@@ -109,7 +112,7 @@
     }
 }
 
-/// Writes a frame and every other that waits behind it with one flush.
+/// Writes a frame and all queued ones with a single flush.
 async fn send(
     peer: &Peer,
     sink: &mut Sink,
@@ -119,10 +122,10 @@
     let mut next = Some(first);
     while let Some(frame) = next {
         if let Frame::Submit { id, .. } | Frame::Query { id, .. } = &frame {
-            // From here on the peer may see it, whatever the socket says.
+            // From here on the peer may receive it, whatever error the socket returns.
             let mut all = peer.pending.borrow_mut();
             let Some(pending) = all.get_mut(id) else {
-                // Withdrawn while it waited: it is never sent.
+                // Cancelled while it was queued, so it is not sent.
                 next = outgoing.try_recv().ok();
                 continue;
             };
@@ -137,48 +140,47 @@
 }
 
 async fn read(peer: &Peer, source: &mut Source) -> String {
-    peer.heard.set(Instant::now());
+    peer.last_activity.set(Instant::now());
     loop {
-        match timeout(PING_EVERY, next(source)).await {
+        match timeout(PING_INTERVAL, next(source)).await {
             Err(_) => {
                 if peer.pending.borrow().is_empty() {
-                    peer.heard.set(Instant::now());
+                    peer.last_activity.set(Instant::now());
                 }
-                // Pings are answered, so a peer that lives is never silent
-                // this long.
-                if peer.heard.get().elapsed() >= SILENCE {
-                    return "the peer is silent".into();
+                // Pings are answered, so a live peer is never silent for this long.
+                if peer.last_activity.get().elapsed() >= SILENCE_TIMEOUT {
+                    return "the peer timed out".into();
                 }
                 continue;
             }
             Ok(Err(why)) => return why,
             Ok(Ok(None)) => {}
             Ok(Ok(Some(frame))) => {
-                if let Err(why) = take(peer, frame) {
+                if let Err(why) = handle(peer, frame) {
                     return why;
                 }
             }
         }
-        peer.heard.set(Instant::now());
+        peer.last_activity.set(Instant::now());
     }
 }
 
-fn take(peer: &Peer, frame: Frame) -> Result<(), String> {
+fn handle(peer: &Peer, frame: Frame) -> Result<(), String> {
     match frame {
         Frame::Piece { id, piece, load } => {
-            if !peer.piece(id, piece, load) {
-                // The reader is a whole answer behind: its stream alone ends.
+            if !peer.deliver_piece(id, piece, load) {
+                // The reader is a whole answer behind: only its own stream is cancelled.
                 peer.pending.borrow_mut().remove(&id);
                 let _ = peer.frames.try_send(Frame::Cancel { id });
             }
             Ok(())
         }
         Frame::End { id, outcome, load } => {
-            peer.end(id, Event::End(outcome, load));
+            peer.finish(id, Event::End(outcome, load));
             Ok(())
         }
         Frame::Reply { id, reply } => {
-            peer.answer(id, reply);
+            peer.reply(id, reply);
             Ok(())
         }
         Frame::Hello { .. } | Frame::Submit { .. } | Frame::Cancel { .. } | Frame::Query { .. } => {
@@ -187,16 +189,16 @@
     }
 }
 
-/// The next frame; nothing for a message that only shows life.
+/// Returns the next frame, or none for a ping or pong.
 async fn next(source: &mut Source) -> Result<Option<Frame>, String> {
     match source.next().await {
-        None => Err("the peer closed it".into()),
+        None => Err("the peer closed the connection".into()),
         Some(Err(error)) => Err(error.to_string()),
         Some(Ok(Message::Binary(bytes))) => wire::decode(&bytes)
             .map(Some)
             .map_err(|error| error.to_string()),
         Some(Ok(Message::Ping(_) | Message::Pong(_))) => Ok(None),
-        Some(Ok(_)) => Err("the peer sent something else than a frame".into()),
+        Some(Ok(_)) => Err("the peer sent a message that is not a frame".into()),
     }
 }
 
--- a/src/link/server.rs
+++ b/src/link/server.rs
@@ -15,7 +15,7 @@
 use tokio_tungstenite::tungstenite::Message;
 use tokio_tungstenite::{WebSocketStream, accept_async_with_config};
 
-use super::{CONNECT_TIMEOUT, FRAMES, socket_config};
+use super::{CONNECT_TIMEOUT, MAX_QUEUED_FRAMES, socket_config};
 use crate::dispatch::Handle;
 use crate::dispatch::handle::Event;
 use crate::event;
@@ -24,50 +24,50 @@
 use crate::wire::query::{Query, Reply};
 use crate::wire::traffic::Frame;
 
-/// A gateway with open requests pings far more often than this; a silent one is
-/// gone, and its requests must not use slots any longer.
-const SILENCE: Duration = Duration::from_secs(5);
-/// A connection without open requests is closed by the gateway before this.
-const IDLE: Duration = Duration::from_secs(180);
-/// Longest time that the control thread may take for an answer.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long to pause when a connection can't be accepted.
+/// A gateway with open requests pings far more often than this. One that is silent for this
+/// long is gone, and its requests must release their slots.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Idle timeout; the gateway closes a connection without open requests earlier.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(180);
+/// Timeout of the control thread's reply to a query.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(3);
+/// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 type Socket = WebSocketStream<TcpStream>;
 type Running = Rc<RefCell<HashMap<u64, JoinHandle<()>>>>;
 
-/// A question for the control thread.
+/// A query for the control thread.
 #[derive(Debug)]
 pub struct PendingQuery {
-    /// The question.
+    /// The query.
     pub query: Query,
-    /// Where the answer goes.
+    /// Receives the reply.
     pub reply: oneshot::Sender<Reply>,
 }
 
-/// What connections are served with.
+/// The services that handle a connection's frames.
 #[derive(Clone)]
-pub struct Desk {
+pub struct Services {
     /// This node's name.
     pub node: Name,
-    /// The dispatchers of this node.
+    /// Handle to the dispatchers of this node.
     pub handle: Handle,
-    /// The control thread.
+    /// Channel to the control thread.
     pub queries: mpsc::Sender<PendingQuery>,
 }
 
-/// Accepts connections of other nodes for as long as the thread lives.
+/// Accepts connections from other nodes for the lifetime of the thread.
 ///
 /// # Errors
-/// When the socket can't be registered with this thread's runtime.
-pub async fn serve(listener: TcpListener, desk: Desk) -> std::io::Result<()> {
+/// Returns an error if the socket can't be registered with this thread's runtime.
+pub async fn serve(listener: TcpListener, services: Services) -> std::io::Result<()> {
     let listener = tokio::net::TcpListener::from_std(listener)?;
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
                 let _ = stream.set_nodelay(true);
-                let connection = connection(stream, desk.clone());
+                let connection = connection(stream, services.clone());
                 actix_rt::spawn(async move {
                     if let Err(why) = connection.await {
                         log::info!("{} peer={peer} why=\"{why}\"", event::LINK_CLOSED);
@@ -79,38 +79,38 @@
     }
 }
 
-async fn connection(stream: TcpStream, desk: Desk) -> Result<(), String> {
-    let socket = timeout(CONNECT_TIMEOUT, greet(stream, desk.node.clone()))
+async fn connection(stream: TcpStream, services: Services) -> Result<(), String> {
+    let socket = timeout(CONNECT_TIMEOUT, handshake(stream, services.node.clone()))
         .await
-        .map_err(|_| "the greeting took too long")??;
+        .map_err(|_| "the handshake timed out")??;
     let (sink, source) = socket.split();
-    let (frames, outgoing) = mpsc::channel(FRAMES);
+    let (frames, outgoing) = mpsc::channel(MAX_QUEUED_FRAMES);
     let running = Running::default();
     let result = tokio::select! {
-        result = read(source, &frames, &desk, &running) => result,
+        result = read(source, &frames, &services, &running) => result,
         result = write(sink, outgoing) => result,
     };
-    // The gateway is gone: whatever ran for it is cancelled.
+    // The gateway has disconnected: all of its requests are cancelled.
     for (_, task) in running.borrow_mut().drain() {
         task.abort();
     }
     result
 }
 
-async fn greet(stream: TcpStream, node: Name) -> Result<Socket, String> {
+async fn handshake(stream: TcpStream, node: Name) -> Result<Socket, String> {
     let mut socket = accept_async_with_config(stream, Some(socket_config()))
         .await
         .map_err(|error| error.to_string())?;
     match socket.next().await {
         Some(Ok(Message::Binary(bytes))) => {
             let Ok(Frame::Hello { version, .. }) = wire::decode(&bytes) else {
-                return Err(refuse("the first frame is no greeting"));
+                return Err(reject("the first frame is not a handshake"));
             };
             if version != wire::VERSION {
-                return Err(refuse("the peer speaks another version"));
+                return Err(reject("the peer has another protocol version"));
             }
         }
-        _ => return Err("no greeting came".into()),
+        _ => return Err("no handshake was received".into()),
     }
     let hello = Frame::Hello {
         version: wire::VERSION,
@@ -127,24 +127,24 @@
 async fn read(
     mut source: SplitStream<Socket>,
     frames: &mpsc::Sender<Frame>,
-    desk: &Desk,
+    services: &Services,
     running: &Running,
 ) -> Result<(), String> {
     loop {
         let silence = if running.borrow().is_empty() {
-            IDLE
+            IDLE_TIMEOUT
         } else {
-            SILENCE
+            SILENCE_TIMEOUT
         };
         let message = timeout(silence, source.next())
             .await
-            .map_err(|_| "the peer is silent")?;
+            .map_err(|_| "the peer timed out")?;
         let bytes = match message {
             None | Some(Ok(Message::Close(_))) => return Ok(()),
             Some(Err(error)) => return Err(error.to_string()),
             Some(Ok(Message::Binary(bytes))) => bytes,
             Some(Ok(Message::Ping(_) | Message::Pong(_))) => continue,
-            Some(Ok(_)) => return Err(refuse("something else than a frame")),
+            Some(Ok(_)) => return Err(reject("a message that is not a frame")),
         };
         match wire::decode(&bytes) {
             Ok(Frame::Submit {
@@ -152,13 +152,13 @@
                 endpoint,
                 request,
             }) => {
-                let events = desk.handle.submit(endpoint, *request);
+                let events = services.handle.submit(endpoint, *request);
                 let task = forward(id, events, frames.clone(), Rc::clone(running));
                 let task = actix_rt::spawn(task);
                 if let Some(old) = running.borrow_mut().insert(id, task) {
-                    // An identity is never used twice by a gateway of ours.
+                    // A correct gateway never reuses an id.
                     old.abort();
-                    return Err(refuse("a request's identity came twice"));
+                    return Err(reject("a request id was used twice"));
                 }
             }
             Ok(Frame::Cancel { id }) => {
@@ -167,20 +167,25 @@
                 }
             }
             Ok(Frame::Query { id, query }) => {
-                actix_rt::spawn(ask(id, query, desk.queries.clone(), frames.clone()));
+                actix_rt::spawn(query_control(
+                    id,
+                    query,
+                    services.queries.clone(),
+                    frames.clone(),
+                ));
             }
             Ok(
                 Frame::Hello { .. } | Frame::Piece { .. } | Frame::End { .. } | Frame::Reply { .. },
             ) => {
-                return Err(refuse("a frame that only a dispatcher sends"));
+                return Err(reject("a frame that only a dispatcher sends"));
             }
-            Err(error) => return Err(refuse(&error.to_string())),
+            Err(error) => return Err(reject(&error.to_string())),
         }
     }
 }
 
-/// Lets the control thread answer a question.
-async fn ask(
+/// Passes a query to the control thread and sends the reply.
+async fn query_control(
     id: u64,
     query: Query,
     queries: mpsc::Sender<PendingQuery>,
@@ -189,7 +194,7 @@
     let (reply, answer) = oneshot::channel();
     let reply = match queries.try_send(PendingQuery { query, reply }) {
         Err(_) => Reply::Busy,
-        Ok(()) => match timeout(ANSWER_TIMEOUT, answer).await {
+        Ok(()) => match timeout(REPLY_TIMEOUT, answer).await {
             Ok(Ok(reply)) => reply,
             Ok(Err(_)) | Err(_) => Reply::Busy,
         },
@@ -197,7 +202,7 @@
     let _ = frames.send(Frame::Reply { id, reply }).await;
 }
 
-/// Passes on what the dispatcher says of one request.
+/// Forwards the events of one request.
 async fn forward(
     id: u64,
     mut events: mpsc::Receiver<Event>,
@@ -234,7 +239,7 @@
     Ok(())
 }
 
-fn refuse(why: &str) -> String {
+fn reject(why: &str) -> String {
     log::warn!("{} why=\"{why}\"", event::FRAME_REFUSED);
     why.to_owned()
 }
--- a/src/node/traffic.rs
+++ b/src/node/traffic.rs
@@ -56,12 +56,12 @@
     pub fn start(self) {
         let shell = Shell::new(&self.shared, self.channels.loads);
         actix_rt::spawn(shell.run(self.channels.submits));
-        let desk = link::server::Desk {
+        let services = link::server::Services {
             node: self.shared.node.clone(),
             handle: self.shared.dispatch.clone(),
             queries: self.queries,
         };
-        let links = link::server::serve(self.links, desk);
+        let links = link::server::serve(self.links, services);
         actix_rt::spawn(async move {
             if let Err(error) = links.await {
                 log::error!("{} what=link why=\"{error}\"", event::LISTEN_FAILED);
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,8 +1,8 @@
-//! Frames between nodes: CBOR in binary websocket messages.
+//! Frames between nodes: CBOR in binary WebSocket messages.
 //!
-//! Requests and control travel on separate connections, so that bulk never
-//! stands before a question or a heartbeat. Each frame is bounded, and a frame
-//! that can't be read closes the connection that brought it and nothing else.
+//! Requests and control messages use separate connections, so that bulk data never delays a
+//! query or a heartbeat. The size of a frame is limited, and an invalid frame closes only the
+//! connection that it arrived on.
 
 use std::fmt;
 
@@ -13,35 +13,38 @@
 pub mod query;
 pub mod traffic;
 
-/// Version of the protocol; nodes of different versions refuse each other.
+/// Version of the protocol; nodes of different versions reject each other's connections.
 pub const VERSION: u16 = 1;
-/// Largest frame that is sent or accepted, in bytes.
+/// Largest frame that is sent or accepted.
 pub const MAX_FRAME_BYTES: usize = 4 * 1024 * 1024;
 
-/// Why a frame can't be read or written.
+/// Why a frame can't be encoded or decoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Error {
     /// Longer than [`MAX_FRAME_BYTES`].
     TooLong(usize),
-    /// Truncated, or not a frame of a known kind.
+    /// Truncated, or of an unknown kind.
     Malformed(String),
 }
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::TooLong(len) => write!(f, "a frame of {len} bytes is above {MAX_FRAME_BYTES}"),
-            Self::Malformed(what) => write!(f, "a frame can't be read: {what}"),
+            Self::TooLong(len) => write!(
+                f,
+                "a frame of {len} bytes exceeds the limit of {MAX_FRAME_BYTES}"
+            ),
+            Self::Malformed(what) => write!(f, "invalid frame: {what}"),
         }
     }
 }
 
 impl std::error::Error for Error {}
 
-/// Writes a frame.
+/// Encodes a frame.
 ///
 /// # Errors
-/// [`Error::TooLong`] when it is above the bound.
+/// [`Error::TooLong`] if it exceeds [`MAX_FRAME_BYTES`].
 pub fn encode<F>(frame: &F) -> Result<Vec<u8>, Error>
 where
     F: Serialize,
@@ -54,11 +57,10 @@
     Ok(bytes)
 }
 
-/// Reads a frame; every byte must belong to it.
+/// Decodes a frame, which must consume all bytes.
 ///
 /// # Errors
-/// [`Error`] when it is too long, truncated, of an unknown kind, or followed
-/// by something else.
+/// [`Error`] if it is too long, truncated, of an unknown kind, or followed by further bytes.
 pub fn decode<F>(bytes: &[u8]) -> Result<F, Error>
 where
     F: DeserializeOwned,
--- a/src/wire/control.rs
+++ b/src/wire/control.rs
@@ -1,7 +1,7 @@
-//! Datagrams that nodes exchange about each other.
+//! Datagrams of the membership protocol.
 //!
-//! They are small and may get lost, doubled or reordered; nothing here rests
-//! on delivery. docs/design/members.md tells why they go over UDP.
+//! They are small and may be lost, duplicated or reordered; the protocol does not rely on
+//! delivery. docs/design/members.md explains the choice of UDP.
 
 use std::fmt;
 
@@ -11,41 +11,40 @@
 use crate::member::record::Record;
 use crate::name::Name;
 
-/// Largest datagram in bytes, below the smallest usual path limit, so that
-/// none is ever split on the way.
+/// Largest datagram, below the smallest common path MTU, so that no datagram is fragmented.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
-/// Bytes of a member's print.
+/// Size of a member's fingerprint.
 pub const FINGERPRINT_BYTES: usize = 8;
-/// Largest value of a note or a direct message, in bytes.
+/// Largest value of a note or a direct message.
 pub const MAX_VALUE_BYTES: usize = 512;
-/// So many news items at once are a special event; see [`Update::sends`].
-const MANY: usize = 24;
-/// First byte of every datagram.
+/// Number of pending updates above which records are sent less often; see [`Update::sends`].
+const RECORD_BURST: usize = 24;
+/// Protocol version, the first byte of every datagram.
 const VERSION: u8 = 1;
-/// Room that a head and any body take at most, with the longest names.
+/// Largest size of a head and a body together, with the longest names.
 pub const MAX_HEAD_BYTES: usize = 400;
 
 /// A datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Frame {
-    /// Who sent it.
+    /// The sender.
     #[serde(rename = "h")]
     pub head: Head,
-    /// What it asks or answers.
+    /// The message.
     #[serde(rename = "b")]
     pub body: Body,
-    /// News that travels along.
+    /// Updates piggybacked on the message.
     #[serde(rename = "u", default, skip_serializing_if = "Vec::is_empty")]
     pub updates: Vec<Update>,
 }
 
-/// What a sender says of itself in every datagram.
+/// The sender's own state, sent in every datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
     /// Its name.
     #[serde(rename = "n")]
     pub from: Name,
-    /// Its process.
+    /// Identifies its process.
     #[serde(rename = "b")]
     pub boot: u64,
     /// Its incarnation.
@@ -54,53 +53,55 @@
     /// The configuration version that it has in force.
     #[serde(rename = "v")]
     pub in_force: u64,
-    /// The newest configuration version that it has heard of.
+    /// The newest configuration version that it has received notice of.
     #[serde(rename = "w")]
     pub heard: u64,
 }
 
-/// What a datagram asks or answers.
+/// A message of the membership protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// Are you there?
+    /// A failure-detector probe.
     #[serde(rename = "p")]
     Ping {
-        /// The sender's number of the question.
+        /// The sender's sequence number.
         seq: u32,
-        /// Who is asked; somebody else at the same address must not answer.
+        /// The intended receiver; another node at the same address must not answer.
         to: Name,
     },
-    /// Yes, or: the one you asked me to try is there.
+    /// Acknowledges a direct or an indirect probe.
     #[serde(rename = "a")]
     Ack {
-        /// The number of the question.
+        /// The sequence number of the probe.
         seq: u32,
-        /// Who is there.
+        /// The node that answered the probe.
         of: Name,
     },
-    /// Please try this one; I get no answer.
+    /// Requests an indirect probe of a node that does not answer the sender.
     #[serde(rename = "q")]
     Probe {
-        /// The sender's number of the question.
+        /// The sender's sequence number.
         seq: u32,
-        /// Who is to be tried.
+        /// The node to probe.
         to: Name,
-        /// Where it listens, as ip:port.
+        /// Its address, as ip:port.
         address: Name,
     },
-    /// Only news.
+    /// Carries only updates.
     #[serde(rename = "g")]
     Gossip,
-    /// Part of the sender's table, asked for by [`Body::Sync`].
+    /// Part of the sender's member table, requested by [`Body::Sync`].
     #[serde(rename = "t")]
     Table,
-    /// I am here, as my record says that travels along; tell me of yourself.
+    /// Announces the sender, whose record is among the updates, and requests the receiver's
+    /// record.
     #[serde(rename = "i")]
     Hello {
         /// True when this answers a [`Body::Hello`], which ends the exchange.
         answer: bool,
     },
-    /// Compare what we know, and send me what I lack.
+    /// Anti-entropy: sends digests of the member table, and requests the records that the
+    /// sender lacks.
     #[serde(rename = "s")]
     Sync {
         /// Four bytes for each bucket of members.
@@ -108,52 +109,52 @@
         /// True when this answers a [`Body::Sync`], which ends the exchange.
         answer: bool,
     },
-    /// A message for this node alone.
+    /// A message for the receiver alone.
     #[serde(rename = "d")]
     Direct {
-        /// What it is about; the services that use it share out the numbers.
+        /// The subject; the services that send direct messages share the numbers.
         topic: u8,
         /// At most [`MAX_VALUE_BYTES`] bytes.
         value: Bytes,
     },
 }
 
-/// News that spreads from node to node.
+/// An update that spreads by gossip.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Update {
-    /// A member as somebody knows it.
+    /// A member's record as the sender has it.
     #[serde(rename = "r")]
     Record(Record),
-    /// Members have a configuration version in force. After a change every
-    /// member says so at about the same time, so they are named by
-    /// [`Record::print`], [`FINGERPRINT_BYTES`] bytes each, and told together.
+    /// Members have a configuration version in force. After a change all members report this at
+    /// about the same time, so one update lists many of them by [`Record::fingerprint`],
+    /// [`FINGERPRINT_BYTES`] bytes each.
     #[serde(rename = "v")]
     InForce {
         /// The version.
         #[serde(rename = "v")]
         version: u64,
-        /// The members' prints, one after the other.
+        /// The members' fingerprints, concatenated.
         #[serde(rename = "p")]
         prints: Bytes,
     },
     /// A configuration version was committed.
     #[serde(rename = "w")]
     Committed(u64),
-    /// A hint for everyone, such as a cancelled job.
+    /// A hint for all members, such as a cancelled job.
     #[serde(rename = "o")]
     Note(Note),
 }
 
-/// A hint for everyone. Whoever needs certainty reads the table.
+/// A hint for all members. It may get lost; the table is authoritative.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Note {
-    /// What it is about; the services that use it share out the numbers.
+    /// The subject; the services that send notes share the numbers.
     #[serde(rename = "t")]
     pub topic: u8,
-    /// What of that; a newer note of the same key replaces the older one.
+    /// The key within the topic; a newer note replaces an older one of the same key.
     #[serde(rename = "k")]
     pub key: Name,
-    /// Rises with each note of that key.
+    /// Increases with each note of that key.
     #[serde(rename = "s")]
     pub version: u64,
     /// At most [`MAX_VALUE_BYTES`] bytes.
@@ -162,20 +163,20 @@
 }
 
 impl Update {
-    /// How often a node sends it, when news as such is sent `limit` times and
-    /// `waiting` items wait to be sent.
+    /// Returns how often a node sends this update, given the usual `limit` and the number of
+    /// `waiting` updates.
     ///
-    /// Many records at once mean that a fleet starts, or that regions have found
-    /// each other. Then sending each as often would take minutes within the
-    /// budget, and comparing with peers is what brings all up to date.
+    /// Many records at once mean that a fleet starts, or that partitioned regions have
+    /// reconnected. Sending each of them `limit` times would then take minutes within the
+    /// bandwidth budget, and anti-entropy brings all members up to date sooner.
     pub fn sends(&self, limit: u32, waiting: usize) -> u32 {
         match self {
-            Self::Record(_) if waiting > MANY => limit.div_ceil(8),
+            Self::Record(_) if waiting > RECORD_BURST => limit.div_ceil(8),
             Self::InForce { .. } | Self::Record(_) | Self::Committed(_) | Self::Note(_) => limit,
         }
     }
 
-    /// Bytes that it takes in a datagram, at most.
+    /// Returns an upper bound of its encoded size in bytes.
     pub fn size(&self) -> usize {
         match self {
             Self::Record(record) => record.size() + 4,
@@ -186,14 +187,14 @@
     }
 }
 
-/// Why a datagram was dropped. Each has a counter.
+/// Why a datagram was dropped. Each reason has a counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Error {
     /// Longer than [`MAX_DATAGRAM_BYTES`].
     TooLong,
     /// Of another version of the protocol.
     Version,
-    /// Truncated, of an unknown kind, or followed by something else.
+    /// Truncated, of an unknown kind, or followed by further bytes.
     Malformed,
 }
 
@@ -201,18 +202,18 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::TooLong => "the datagram is too long",
-            Self::Version => "the datagram is of another protocol version",
-            Self::Malformed => "the datagram can't be read",
+            Self::Version => "the datagram has another protocol version",
+            Self::Malformed => "the datagram is malformed",
         })
     }
 }
 
 impl std::error::Error for Error {}
 
-/// Writes a datagram.
+/// Encodes a datagram.
 ///
 /// # Errors
-/// [`Error::TooLong`] when it is above [`MAX_DATAGRAM_BYTES`].
+/// [`Error::TooLong`] if it exceeds [`MAX_DATAGRAM_BYTES`].
 pub fn encode(frame: &Frame) -> Result<Vec<u8>, Error> {
     let mut bytes = Vec::with_capacity(256);
     bytes.push(VERSION);
@@ -223,10 +224,10 @@
     Ok(bytes)
 }
 
-/// Reads a datagram; every byte must belong to it.
+/// Decodes a datagram, which must consume all bytes.
 ///
 /// # Errors
-/// Says which [`Error`] to count; nothing else is to be done about it.
+/// The [`Error`] to count; the datagram is otherwise ignored.
 pub fn decode(bytes: &[u8]) -> Result<Frame, Error> {
     if bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(Error::TooLong);
--- a/src/wire/query.rs
+++ b/src/wire/query.rs
@@ -1,7 +1,7 @@
-//! Questions that one node's control thread asks another's.
+//! Queries between the control threads of nodes.
 //!
-//! They travel in frames of connections that the control thread keeps for
-//! itself, so that no answer to a caller stands before them.
+//! They use connections of the control thread's own, so that answers to callers never delay
+//! them.
 
 use std::sync::Arc;
 
@@ -14,56 +14,56 @@
 use crate::feed::Answer;
 use crate::name::Name;
 
-/// A question.
+/// A query.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Query {
-    /// What do you know of the configuration?
+    /// Requests the receiver's state of the configuration.
     Report,
-    /// Which document do you have?
+    /// Requests the receiver's configuration document.
     Document,
-    /// This version is about to be committed.
+    /// Announces a version that is about to be committed.
     Announce {
         /// The version.
         version: u64,
     },
-    /// How busy are the endpoints that you dispatch for?
+    /// Requests the loads of the endpoints that the receiver dispatches for.
     Loads,
-    /// Leave, as SIGTERM would make you.
+    /// Requests that the receiver shut down, as SIGTERM does.
     Drain,
-    /// What does the store say? I can't reach it.
+    /// Requests the catalogue, from a node that can't reach the store.
     Known {
-        /// The configuration version that the asker has.
+        /// The sender's configuration version.
         version: u64,
     },
-    /// What changed in a table of the store?
+    /// Requests the changes of a table in the store.
     Changes {
         /// The table.
         table: Name,
-        /// The version that the asker knows.
+        /// The sender's version of the table.
         after: u64,
     },
 }
 
-/// An answer.
+/// A reply.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Reply {
-    /// To [`Query::Report`].
+    /// Replies to [`Query::Report`].
     Report(Report),
-    /// To [`Query::Document`]; none while no document is known.
+    /// Replies to [`Query::Document`]; none if the node has no document.
     Document(Option<Arc<Document>>),
-    /// To [`Query::Announce`].
+    /// Replies to [`Query::Announce`].
     Announced,
-    /// To [`Query::Loads`].
+    /// Replies to [`Query::Loads`].
     Loads(Vec<(Name, Load)>),
-    /// To [`Query::Drain`]: what is in flight there.
+    /// Replies to [`Query::Drain`].
     Draining {
-        /// Requests and items.
+        /// Number of requests and items in flight on the draining node.
         in_flight: u32,
     },
-    /// To [`Query::Known`]; none when the store does not answer this node either.
+    /// Replies to [`Query::Known`]; none if the store does not answer this node either.
     Known(Option<Box<PeerUpdate>>),
-    /// To [`Query::Changes`].
+    /// Replies to [`Query::Changes`].
     Changes(Answer),
-    /// The node can't answer now.
+    /// The node can't reply now.
     Busy,
 }
--- a/src/wire/traffic.rs
+++ b/src/wire/traffic.rs
@@ -11,58 +11,58 @@
 /// A frame on a traffic connection.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// The first frame each way.
+    /// The handshake, the first frame in each direction.
     Hello {
         /// The sender's protocol version.
         version: u16,
         /// The sender's name.
         node: Name,
     },
-    /// Run this request at an endpoint whose dispatcher the receiver is.
+    /// Submits a request for an endpoint that the receiver dispatches for.
     Submit {
-        /// The sender's identity of the request on this connection.
+        /// The sender's id of the request, unique on this connection.
         id: u64,
-        /// The endpoint to admit it to.
+        /// The endpoint to run it at.
         endpoint: Name,
         /// The request.
         request: Box<Request>,
     },
-    /// The requester went away.
+    /// Cancels a request whose caller has disconnected.
     Cancel {
-        /// Which request.
+        /// The id of the request.
         id: u64,
     },
     /// A part of an answer.
     Piece {
-        /// Which request.
+        /// The id of the request.
         id: u64,
-        /// The part, with its offset.
+        /// The part of the answer, with its offset.
         piece: Piece,
-        /// How busy the endpoint is, with the first part of a run.
+        /// The endpoint's load, with the first piece of a run.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         load: Option<Load>,
     },
-    /// A question to the receiver's control thread.
+    /// A query to the receiver's control thread.
     Query {
-        /// The sender's identity of the question on this connection.
+        /// The sender's id of the query, unique on this connection.
         id: u64,
-        /// The question.
+        /// The query.
         query: Query,
     },
-    /// The answer to a question.
+    /// The reply to a query.
     Reply {
-        /// Which question.
+        /// The id of the query.
         id: u64,
-        /// The answer.
+        /// The reply.
         reply: Reply,
     },
-    /// The last word about a request.
+    /// The end of a request.
     End {
-        /// Which request.
+        /// The id of the request.
         id: u64,
-        /// What became of it.
+        /// Its outcome.
         outcome: Outcome<Answer>,
-        /// How busy the endpoint is now.
+        /// The endpoint's current load.
         load: Load,
     },
 }
--- a/tests/wire_control.rs
+++ b/tests/wire_control.rs
@@ -1,4 +1,4 @@
-//! Datagrams that are whole, and those that are not.
+//! Decoding of valid and invalid datagrams.
 
 use auburnspoke::member::record::Record;
 use auburnspoke::member::{Member, State};
@@ -97,8 +97,8 @@
     }
 }
 
-/// A node fills datagrams by the sizes that updates claim. If one took more,
-/// the datagram would be above the bound and the news in it never be sent.
+/// A node fills datagrams by the sizes that [`Update::size`] returns. If an update took more,
+/// the datagram would exceed the limit and its updates would never be sent.
 #[gtest]
 fn size_is_never_too_small() {
     let empty = encode(&frame(Body::Gossip, Vec::new())).unwrap().len();
@@ -109,7 +109,7 @@
     }
 }
 
-/// A datagram is cut short on its way, or by a fault in a sender.
+/// A datagram is truncated by the network or by a faulty sender.
 #[gtest]
 fn decode_truncated_is_malformed() {
     let bytes = encode(&frame(bodies().remove(0), updates().split_off(3))).unwrap();
@@ -118,8 +118,8 @@
     }
 }
 
-/// During an upgrade nodes of two versions run beside each other; a kind or
-/// version that a node doesn't know must not be taken for something else.
+/// During an upgrade nodes of two versions run side by side. A node must not mistake an unknown
+/// kind or version for another one.
 #[gtest]
 fn decode_unknown_is_refused() {
     let whole = encode(&frame(Body::Gossip, Vec::new())).unwrap();
@@ -143,8 +143,8 @@
 }
 
 proptest! {
-    /// Bytes are flipped on the way. Whatever comes of it, reading ends and
-    /// never yields a frame above the bounds.
+    /// A byte of a datagram is corrupted. Decoding must terminate and never return a frame
+    /// above the limits.
     #[test]
     fn decode_flipped_does_not_panic(at in 0_usize..400, with in any::<u8>(), kind in 0_usize..7) {
         let sent = frame(bodies().remove(kind), updates().split_off(4));
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Somebody sends noise to the control address.
+    /// The control address receives random bytes.
     #[test]
     fn decode_noise_does_not_panic(noise in proptest::collection::vec(any::<u8>(), 0..1_300)) {
         let mut bytes = vec![1];
--- a/tests/wire_traffic.rs
+++ b/tests/wire_traffic.rs
@@ -1,4 +1,4 @@
-//! Broken frames on the connections between nodes.
+//! Invalid frames on the connections between nodes.
 
 use auburnspoke::wire::traffic::Frame;
 use auburnspoke::wire::{self, MAX_FRAME_BYTES, VERSION};
@@ -15,8 +15,8 @@
     wire::encode(&Frame::Hello { version, node }).unwrap()
 }
 
-/// Connects to a node's link, sends the messages, and tells whether the node
-/// closed the connection (a greeting of its own may come before).
+/// Connects to a node's link, sends the messages, and returns whether the node closed the
+/// connection. The node may send its own handshake before.
 fn is_closed_after(link: &str, messages: Vec<Vec<u8>>) -> bool {
     actix_rt::System::new().block_on(async {
         let stream = tokio::net::TcpStream::connect(link).await.unwrap();
@@ -24,7 +24,7 @@
         let connected = tokio_tungstenite::client_async(url, stream).await;
         let (mut socket, _) = connected.unwrap();
         for message in messages {
-            // The node may have closed it before the last message.
+            // The node may have closed the connection before the last message.
             let _ = socket.send(Message::Binary(message.into())).await;
         }
         let closing = async {
@@ -38,9 +38,8 @@
     })
 }
 
-/// A node of another version, a foreign program or a broken one connects to a
-/// node's link and sends what is no frame. The node closes that connection, and
-/// a question through the same node is answered as before.
+/// A node of another version, a foreign or a faulty program connects to a node's link and sends
+/// invalid frames. The node must close that connection and still answer a question.
 #[gtest]
 fn link_broken_frames() {
     let mut fleet = env::Fleet::new();
