--- a/src/batch/run.rs
+++ b/src/batch/run.rs
@@ -52,16 +52,16 @@
         drop(pending);
         return requeue(&jobs, &work, item, "no_route");
     };
-    let ward = Rc::clone(&jobs.setup.ward);
+    let detector = Rc::clone(&jobs.setup.detector);
     let request = work.fingerprint(item);
-    let suspect = match ward.status(request) {
+    let suspect = match detector.status(request) {
         Status::Condemned => return suspend(&jobs, &work, item),
         Status::Held(_) => return requeue(&jobs, &work, item, "held"),
         Status::Suspect => true,
         Status::Clear => false,
     };
     let now = jobs.now();
-    let want = Claim {
+    let claim = Claim {
         service,
         requirements: Requirements {
             class: Class::Batch,
@@ -76,7 +76,7 @@
             avoid: work.failed_at.borrow()[item].clone(),
         },
     };
-    let permit = jobs.setup.desk.acquire(want).await;
+    let permit = jobs.setup.broker.acquire(claim).await;
     drop(pending);
     jobs.schedule();
     let Ok(permit) = permit else {
@@ -96,7 +96,7 @@
         // Reclaiming the slot has priority.
         biased;
         () = permit.stopped() => Exit::Stopped,
-        () = ward.until_condemned(request) => Exit::Condemned,
+        () = detector.until_condemned(request) => Exit::Condemned,
         exit = exchange(&work, item, &forward, &permit) => exit,
     };
     let took = jobs.now().since(began);
@@ -112,13 +112,13 @@
                 ran: took,
                 why,
             };
-            match ward.investigate(&permit.endpoint, run).await {
+            match detector.investigate(&permit.endpoint, run).await {
                 Finding::Crashed => Exit::Interrupted(End::Crashed, why),
                 Finding::NotCrashed | Finding::Undecided => Exit::Interrupted(End::Error, why),
             }
         }
         Exit::Done => {
-            ward.completed(request);
+            detector.completed(request);
             Exit::Done
         }
         exit => exit,
--- a/src/batch/shell.rs
+++ b/src/batch/shell.rs
@@ -61,10 +61,10 @@
     pub row_bytes: usize,
     /// Retention period of results.
     pub result_retention: Duration,
-    /// Admission control.
-    pub desk: Rc<Broker>,
-    /// The quarantine for requests that crash endpoints.
-    pub ward: Rc<Detector>,
+    /// Client of the pools, which grants slots at endpoints.
+    pub broker: Rc<Broker>,
+    /// Detector of requests that crash endpoints.
+    pub detector: Rc<Detector>,
     /// Configuration and endpoints.
     pub catalog: Arc<Cell<Catalog>>,
     /// The member list.
--- a/src/batch/work.rs
+++ b/src/batch/work.rs
@@ -68,6 +68,7 @@
     /// Its last run failed, and the failure is not stored yet. It must not run again before that:
     /// if the owner were lost, the next one would not count this failure.
     FailureUnstored,
+    /// Its outcome is stored.
     Done,
 }
 
