--- a/src/edge/relay/admit.rs
+++ b/src/edge/relay/admit.rs
@@ -35,7 +35,7 @@
         let Some(limited) = limited else {
             return desk.acquire(want).await.map_err(Denied::Place);
         };
-        if desk.is_suspicious(&limited) {
+        if desk.was_over_limit(&limited) {
             self.token = Some(desk.count(limited).await.map_err(Denied::Count)?);
             return desk.acquire(want).await.map_err(Denied::Place);
         }
--- a/src/permit.rs
+++ b/src/permit.rs
@@ -1,12 +1,12 @@
-//! The gateway's side of admission: asks the pool of a service for a place at
-//! an endpoint, keeps what it got in the pool's memory, and gives it back.
+//! The gateway's side of admission control: acquires permits for slots from the
+//! pool of a service, renews them, and releases them.
 //!
-//! The pool lies on the member that rendezvous hashing chooses. One that does
-//! not answer within some tens of milliseconds is passed over for a while; when
-//! the next is silent too, the gateway admits by itself, so that the loss of a
-//! pool's node costs a moment of queueing and no request.
+//! Rendezvous hashing selects the member that owns a pool. An owner that does not
+//! answer within a few tens of milliseconds is skipped for a while. If the next
+//! one does not answer either, the gateway admits requests by itself, so that the
+//! loss of a pool's node costs a short delay but no request.
 
-use std::cell::{Cell as Flag, RefCell};
+use std::cell::{Cell as StdCell, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use std::hash::{Hash as _, Hasher as _};
 use std::net::SocketAddr;
@@ -31,65 +31,65 @@
 use crate::snapshot::Cell;
 use crate::wire;
 
-mod alone;
+mod attempts;
 pub mod count;
+mod fallback;
 pub mod owner;
-mod post;
-mod tries;
+mod send;
 
+use attempts::Attempts;
 use count::Counting;
 use owner::Owners;
-use tries::Tries;
 
-/// How often questions without an answer are looked at.
+/// Interval between checks for unanswered requests.
 const TICK: Duration = Duration::from_millis(20);
-/// A pool that is there answers within two link delays; then the question is
-/// sent again.
-const ANSWER: Duration = Duration::from_millis(25);
-/// After so many silent members this node decides by itself.
-const MOST_PASSED: u32 = 2;
-/// How often a waiting question is repeated, by class.
-const AGAIN_ONLINE: Duration = Duration::from_millis(100);
-const AGAIN_BATCH: Duration = Duration::from_secs(1);
-/// How often held places are mentioned; the pool forgets after 1.7 s.
-const MENTION: Duration = Duration::from_millis(400);
-/// When to come back after no pool could be asked and no endpoint is known.
+/// Time after which an unanswered request is repeated. A pool that is alive answers
+/// within two link delays.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(25);
+/// Number of silent owners after which this node decides locally.
+const MAX_SILENT_OWNERS: u32 = 2;
+/// Intervals at which queued requests are repeated, by class.
+const ONLINE_REPEAT_INTERVAL: Duration = Duration::from_millis(100);
+const BATCH_REPEAT_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval between renewals of held permits, which expire after 1.7 s.
+const RENEW_INTERVAL: Duration = Duration::from_millis(400);
+/// Retry delay when no pool is reachable and no endpoint is known.
 const NO_ENDPOINT_RETRY: Duration = Duration::from_millis(300);
 
 /// Why there is no permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// It would have to wait for too long; come back after this.
+    /// The wait would be too long; retry after this delay.
     Busy(Duration),
-    /// No endpoint of the service is known.
+    /// No endpoint of the service is known; retry after this delay.
     NoEndpoint(Duration),
 }
 
-/// What a request wants.
+/// A claim of a request on a slot of a service.
 #[derive(Clone, Debug)]
 pub struct Claim {
     /// The service.
     pub service: Name,
-    /// What the pool is asked.
+    /// Requirements of the slot.
     pub requirements: Requirements,
 }
 
-/// What a request does at a pool that has no place for it now.
+/// What a request does at a pool that has no free slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Stay {
-    /// It waits there.
+enum IfFull {
+    /// It waits for a slot.
     Wait,
-    /// It goes on to another one.
-    Leave,
+    /// It tries another pool.
+    TryNext,
 }
 
 struct Waiting {
-    want: Claim,
+    claim: Claim,
     pool: Name,
-    stay: Stay,
+    if_full: IfFull,
     reply: oneshot::Sender<Result<Granted, Refusal>>,
-    since: Time,
-    tries: Tries,
+    started: Time,
+    attempts: Attempts,
 }
 
 struct Granted {
@@ -105,13 +105,14 @@
     owner: Option<SocketAddr>,
 }
 
-/// What a [`Broker`] works with.
+/// Dependencies of a [`Broker`].
 pub struct Setup {
-    /// Where it asks from.
+    /// Socket that requests are sent from.
     pub socket: UdpSocket,
     /// The port that pools listen on, the same on every node.
     pub pool_port: u16,
-    /// Tells its questions from those of an earlier process at the same address.
+    /// Distinguishes this process from earlier ones at the same address. Sequence
+    /// numbers start from it.
     pub boot: u64,
     /// The process's clock.
     pub clock: Clock,
@@ -119,16 +120,16 @@
     pub catalog: Arc<Cell<Catalog>>,
     /// The members.
     pub view: Arc<Cell<View>>,
-    /// How exactly limits are kept.
+    /// How precisely limits are enforced.
     pub tolerance: Tolerance,
 }
 
-/// The permits of one traffic thread.
+/// Acquires and holds the permits of one traffic thread.
 pub struct Broker {
     socket: UdpSocket,
     clock: Clock,
     catalog: Arc<Cell<Catalog>>,
-    next: Flag<u64>,
+    next_seq: StdCell<u64>,
     waiting: RefCell<HashMap<u64, Waiting>>,
     counting: RefCell<HashMap<u64, Counting>>,
     meter: RefCell<Meter>,
@@ -139,7 +140,7 @@
 
 /// The right to use one slot of an endpoint, until it is dropped.
 pub struct Permit {
-    desk: Rc<Broker>,
+    broker: Rc<Broker>,
     seq: u64,
     pool: Name,
     end: End,
@@ -149,21 +150,22 @@
 }
 
 impl Permit {
-    /// Says how its use ended; [`End::Left`] if nothing is said.
+    /// Releases the permit with the given end. A permit that is dropped without it ends
+    /// with [`End::Left`].
     pub fn finish(mut self, end: End) {
         self.end = end;
     }
 
-    /// The endpoint has begun to answer, which the pool hears with the next
-    /// mention. Batch runs last for seconds; an endpoint on trial would stay on
-    /// it as long if only their ends told.
+    /// Records that the endpoint has started to answer, which the next renewal reports to
+    /// the pool. Batch runs last for seconds, and an endpoint on trial would otherwise
+    /// stay on trial until one ends.
     pub fn mark_answering(&self) {
-        if let Some(held) = self.desk.held.borrow_mut().get_mut(&self.seq) {
+        if let Some(held) = self.broker.held.borrow_mut().get_mut(&self.seq) {
             held.renewal.answering = true;
         }
     }
 
-    /// Returns when the pool wants the slot back; only batch runs are stopped.
+    /// Completes when the pool preempts the run, which only happens to batch runs.
     pub async fn stopped(&self) {
         self.stop.notified().await;
     }
@@ -171,13 +173,13 @@
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        self.desk.release(self.seq, &self.pool, self.end);
+        self.broker.release(self.seq, &self.pool, self.end);
     }
 }
 
-/// Withdraws a question whose asker has gone.
+/// Withdraws a request when its future is dropped.
 struct Withdraw<'a> {
-    desk: &'a Rc<Broker>,
+    broker: &'a Rc<Broker>,
     seq: u64,
     pool: Name,
     done: bool,
@@ -186,21 +188,21 @@
 impl Drop for Withdraw<'_> {
     fn drop(&mut self) {
         if !self.done {
-            self.desk.waiting.borrow_mut().remove(&self.seq);
-            self.desk.release(self.seq, &self.pool, End::Left);
+            self.broker.waiting.borrow_mut().remove(&self.seq);
+            self.broker.release(self.seq, &self.pool, End::Left);
         }
     }
 }
 
 impl Broker {
-    /// A desk that asks nothing yet.
+    /// Creates a broker without permits.
     pub fn new(setup: Setup) -> Rc<Self> {
         let owners = Owners::new(Arc::clone(&setup.view), setup.pool_port);
         Rc::new(Self {
             socket: setup.socket,
             clock: setup.clock,
             catalog: setup.catalog,
-            next: Flag::new(setup.boot << 24),
+            next_seq: StdCell::new(setup.boot << 24),
             waiting: RefCell::default(),
             counting: RefCell::default(),
             meter: RefCell::new(Meter::new(setup.tolerance)),
@@ -210,66 +212,66 @@
         })
     }
 
-    /// Waits for a place at an endpoint. Dropping the future withdraws.
+    /// Waits for a slot at an endpoint. Dropping the future withdraws the request.
     ///
     /// # Errors
-    /// [`Refusal`] when it would take too long, or nothing is known.
-    pub async fn acquire(self: &Rc<Self>, want: Claim) -> Result<Permit, Refusal> {
-        let shards = shard::shards(&self.catalog.read(), &want.service);
-        // All gateways ask the same pool for a suspect, or each would run it once.
-        let (first, point) = if want.requirements.suspect {
-            let point = want.requirements.request.0;
+    /// [`Refusal`] when the wait would be too long, or no endpoint is known.
+    pub async fn acquire(self: &Rc<Self>, claim: Claim) -> Result<Permit, Refusal> {
+        let shards = shard::shards(&self.catalog.read(), &claim.service);
+        // All gateways use the same pool for a suspect; otherwise each pool would run it.
+        let (first, point) = if claim.requirements.suspect {
+            let point = claim.requirements.request.0;
             (shard::choose(&shards, point, None), point)
         } else {
-            let first = shard::choose_near(&shards, &want.requirements.zone, rand::random());
+            let first = shard::choose_near(&shards, &claim.requirements.zone, rand::random());
             (first, rand::random())
         };
-        let first = first.unwrap_or(want.service.clone());
-        // One zone may be full while another has room.
+        let first = first.unwrap_or(claim.service.clone());
+        // One zone may be full while another has free slots.
         let Some(other) = shard::choose(&shards, point, Some(&first)) else {
-            return self.acquire_from(first, Stay::Wait, want).await;
+            return self.acquire_from(first, IfFull::Wait, claim).await;
         };
-        let stay = match want.requirements.class {
-            Class::Online if !want.requirements.suspect => Stay::Leave,
-            Class::Online | Class::Batch => Stay::Wait,
+        let if_full = match claim.requirements.class {
+            Class::Online if !claim.requirements.suspect => IfFull::TryNext,
+            Class::Online | Class::Batch => IfFull::Wait,
         };
-        match self.acquire_from(first, stay, want.clone()).await {
+        match self.acquire_from(first, if_full, claim.clone()).await {
             Ok(permit) => Ok(permit),
-            Err(_) => self.acquire_from(other, Stay::Wait, want).await,
+            Err(_) => self.acquire_from(other, IfFull::Wait, claim).await,
         }
     }
 
     async fn acquire_from(
         self: &Rc<Self>,
         pool: Name,
-        stay: Stay,
-        want: Claim,
+        if_full: IfFull,
+        claim: Claim,
     ) -> Result<Permit, Refusal> {
-        let seq = self.next.get();
-        self.next.set(seq + 1);
+        let seq = self.next_seq.get();
+        self.next_seq.set(seq + 1);
         let now = self.clock.now();
         let (reply, answer) = oneshot::channel();
-        let class = want.requirements.class;
-        let organisation = want.requirements.organisation;
-        let (request, suspect) = (want.requirements.request, want.requirements.suspect);
-        let due = now + want.requirements.due;
+        let class = claim.requirements.class;
+        let organisation = claim.requirements.organisation;
+        let (request, suspect) = (claim.requirements.request, claim.requirements.suspect);
+        let due = now + claim.requirements.due;
         let mut waiting = Waiting {
-            want,
+            claim,
             pool: pool.clone(),
-            stay,
+            if_full,
             reply,
-            since: now,
-            tries: Tries::new(now),
+            started: now,
+            attempts: Attempts::new(now),
         };
         self.send_ask(now, seq, &mut waiting);
         self.waiting.borrow_mut().insert(seq, waiting);
         let mut withdraw = Withdraw {
-            desk: self,
+            broker: self,
             seq,
             pool: pool.clone(),
             done: false,
         };
-        // The sender is dropped only with the desk.
+        // The sender is dropped only with the broker.
         let granted = answer
             .await
             .unwrap_or(Err(Refusal::NoEndpoint(NO_ENDPOINT_RETRY)))
@@ -294,7 +296,7 @@
         };
         self.held.borrow_mut().insert(seq, held);
         Ok(Permit {
-            desk: Rc::clone(self),
+            broker: Rc::clone(self),
             seq,
             pool,
             end: End::Left,
@@ -303,32 +305,32 @@
         })
     }
 
-    /// Places held now.
+    /// Number of permits held.
     pub fn held(&self) -> usize {
         self.held.borrow().len()
     }
 
-    /// Runs the desk for as long as the thread lives.
+    /// Runs the broker until the thread ends.
     pub async fn run(self: Rc<Self>) {
         let mut buffer = [0; MAX_DATAGRAM];
         let mut tick = interval(TICK);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut mentioned = Time::ZERO;
+        let mut last_renewal = Time::ZERO;
         loop {
             tokio::select! {
                 received = self.socket.recv_from(&mut buffer) => match received {
                     Ok((len, from)) => self.receive(from, &buffer[..len]),
-                    // A pool that is gone shows as a refused datagram.
+                    // The port of a pool that is gone refuses datagrams.
                     Err(error) => log::debug!("{} why=\"{error}\"", event::DATAGRAM_REFUSED),
                 },
                 _ = tick.tick() => {
                     let now = self.clock.now();
-                    self.repeat(now);
+                    self.repeat_requests(now);
                     self.repeat_counts(now);
                     self.probe(now);
-                    if now.since(mentioned) >= MENTION {
-                        mentioned = now;
-                        self.mention(now);
+                    if now.since(last_renewal) >= RENEW_INTERVAL {
+                        last_renewal = now;
+                        self.send_renewals(now);
                     }
                 }
             }
@@ -341,58 +343,58 @@
             log::warn!("{} peer={from}", event::DATAGRAM_REFUSED);
             return;
         };
-        self.owners.borrow_mut().heard(from);
+        self.owners.borrow_mut().mark_alive(from);
         match reply.body {
             Body::Stop => {
                 if let Some(held) = self.held.borrow().get(&reply.seq) {
                     held.stop.notify_one();
                 }
             }
-            Body::Queued => self.queued(from, reply.seq),
+            Body::Queued => self.handle_queued(from, reply.seq),
             Body::Refuse { retry_after } => {
                 if let Some(waiting) = self.waiting.borrow_mut().remove(&reply.seq) {
                     let _ = waiting.reply.send(Err(Refusal::Busy(retry_after)));
                 }
             }
-            // That it answers is all it says.
+            // Receiving it has already marked the owner as alive.
             Body::Alive => {}
-            Body::Counted(verdict) => self.counted(now, from, reply.seq, verdict),
+            Body::Counted(answer) => self.handle_count(now, from, reply.seq, answer),
             Body::Grant { endpoint, address } => {
-                self.granted(now, from, reply.seq, &endpoint, address);
+                self.handle_grant(now, from, reply.seq, &endpoint, address);
             }
         }
     }
 
-    /// A pool has no place now.
-    fn queued(&self, from: SocketAddr, seq: u64) {
+    /// Handles the reply that a pool has no free slot.
+    fn handle_queued(&self, from: SocketAddr, seq: u64) {
         let mut all = self.waiting.borrow_mut();
         let Some(waiting) = all.get_mut(&seq) else {
             return;
         };
-        waiting.tries.unanswered = 0;
-        if waiting.stay == Stay::Wait {
+        waiting.attempts.unanswered = 0;
+        if waiting.if_full == IfFull::Wait {
             return;
         }
         if let Some(waiting) = all.remove(&seq) {
             self.send_release(from, seq, &waiting.pool, End::Left);
-            // A failure means that the asker has gone.
+            // Fails only if the requester is gone.
             let _ = waiting.reply.send(Err(Refusal::Busy(NO_ENDPOINT_RETRY)));
         }
     }
 
-    fn granted(&self, now: Time, from: SocketAddr, seq: u64, id: &Name, address: SocketAddr) {
+    fn handle_grant(&self, now: Time, from: SocketAddr, seq: u64, id: &Name, address: SocketAddr) {
         let Some(mut waiting) = self.waiting.borrow_mut().remove(&seq) else {
-            // A grant that was sent twice is held already; else nobody wants it.
+            // A duplicated grant is already held; any other one is no longer needed.
             if !self.held.borrow().contains_key(&seq) {
-                self.release_everywhere(seq, from);
+                self.release_in_all_pools(seq, from);
             }
             return;
         };
-        let Some(endpoint) = self.usable(now, id, &waiting.want.service, address) else {
-            // This node knows better: the endpoint is leaving or gone.
+        let Some(endpoint) = self.usable(now, id, &waiting.claim.service, address) else {
+            // By this node's catalog, the endpoint is leaving or gone.
             self.send_release(from, seq, &waiting.pool, End::Left);
-            waiting.want.requirements.avoid.push(id.clone());
-            waiting.tries.unanswered = 0;
+            waiting.claim.requirements.avoid.push(id.clone());
+            waiting.attempts.unanswered = 0;
             self.send_ask(now, seq, &mut waiting);
             self.waiting.borrow_mut().insert(seq, waiting);
             return;
@@ -403,33 +405,36 @@
         }
     }
 
-    /// Sends unanswered questions again, to the next member after a while.
-    fn repeat(&self, now: Time) {
-        let mut alone = Vec::new();
+    /// Repeats unanswered requests, and switches to the next owner after several attempts.
+    fn repeat_requests(&self, now: Time) {
+        let mut exhausted = Vec::new();
         for (seq, waiting) in self.waiting.borrow_mut().iter_mut() {
-            let again = match (waiting.tries.unanswered, waiting.want.requirements.class) {
-                (0, Class::Online) => AGAIN_ONLINE,
-                (0, Class::Batch) => AGAIN_BATCH,
-                _ => ANSWER,
+            let interval = match (
+                waiting.attempts.unanswered,
+                waiting.claim.requirements.class,
+            ) {
+                (0, Class::Online) => ONLINE_REPEAT_INTERVAL,
+                (0, Class::Batch) => BATCH_REPEAT_INTERVAL,
+                _ => ANSWER_TIMEOUT,
             };
-            let Some(due) = waiting.tries.due(now, again, MOST_PASSED) else {
+            let Some(due) = waiting.attempts.due(now, interval, MAX_SILENT_OWNERS) else {
                 continue;
             };
             if let Some(owner) = due.silent {
-                self.pass_over(now, owner);
+                self.mark_silent(now, owner);
             }
-            if due.alone {
-                alone.push(*seq);
+            if due.give_up {
+                exhausted.push(*seq);
             } else {
                 self.send_ask(now, *seq, waiting);
             }
         }
-        for seq in alone {
-            self.admit_alone(now, seq);
+        for seq in exhausted {
+            self.admit_locally(now, seq);
         }
     }
 
-    /// Asks silent members whether they are there again.
+    /// Probes silent owners.
     fn probe(&self, now: Time) {
         let due = self.owners.borrow_mut().probes(now);
         for owner in due {
@@ -437,10 +442,10 @@
         }
     }
 
-    /// A member that keeps a pool or a shard of limits does not answer.
-    fn pass_over(&self, now: Time, owner: SocketAddr) {
+    /// Records that the owner of a pool or of a shard of limits does not answer.
+    fn mark_silent(&self, now: Time, owner: SocketAddr) {
         log::info!("{} silent={owner}", event::POOL_CHANGED);
-        self.owners.borrow_mut().silent(now, owner);
+        self.owners.borrow_mut().mark_silent(now, owner);
     }
 }
 
--- a/src/permit/count.rs
+++ b/src/permit/count.rs
@@ -1,9 +1,9 @@
-//! Counting requests of organisations that have a limit.
+//! Counting of requests of organisations that have a limit.
 //!
-//! The question goes to the keeper of the organisation's shard while the place is
-//! looked for, in datagrams of the same kind: it adds no time. A keeper that does
-//! not answer is passed over as a pool is; when the next one is silent too, this
-//! node lets its own part of the limit through.
+//! The coordinator of the organisation's shard is asked while the slot is acquired, in
+//! datagrams of the same kind, so counting adds no latency. A coordinator that does not
+//! answer is skipped like the owner of a pool. If the next ones do not answer either,
+//! this node enforces its own share of the limit.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -12,8 +12,8 @@
 
 use tokio::sync::oneshot;
 
-use super::tries::Tries;
-use super::{ANSWER, Broker};
+use super::attempts::Attempts;
+use super::{ANSWER_TIMEOUT, Broker};
 use crate::catalog::keyring::Organisation;
 use crate::clock::Time;
 use crate::event;
@@ -22,9 +22,9 @@
 use crate::name::Name;
 use crate::pool::message::Request;
 
-/// After so many silent keepers this node decides by itself. What it lets through
-/// comes on top of what a keeper does that others still reach.
-const MOST_PASSED: u32 = 3;
+/// Number of silent coordinators after which this node decides locally. What it admits
+/// comes on top of what a coordinator admits that other nodes still reach.
+const MAX_SILENT_COORDINATORS: u32 = 3;
 
 /// A request of an organisation that has a limit.
 #[derive(Clone, Debug)]
@@ -33,16 +33,16 @@
     pub organisation: Arc<Organisation>,
     /// Its limit.
     pub rate: Rate,
-    /// The version of the configuration that says so.
+    /// Version of the configuration that sets the limit.
     pub version: u64,
 }
 
 /// Why a request may not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denial {
-    /// Its organisation is over its limit; so long until there is room.
+    /// Its organisation is over its limit; retry after this delay.
     Over(Duration),
-    /// Nobody can tell here now.
+    /// Whether the limit is exceeded can't be determined now.
     Unsettled,
 }
 
@@ -50,21 +50,21 @@
     limited: Limited,
     shard: Name,
     reply: oneshot::Sender<Result<Option<SocketAddr>, Denial>>,
-    tries: Tries,
+    attempts: Attempts,
 }
 
-/// A request that is counted. Unless it is spent, it is given back when it is
-/// dropped: what did not run does not count.
+/// A counted request. It is refunded on drop unless it is spent, since requests that
+/// did not run do not count.
 pub struct Token {
-    desk: Rc<Broker>,
+    broker: Rc<Broker>,
     seq: u64,
     limited: Limited,
-    keeper: Option<SocketAddr>,
+    coordinator: Option<SocketAddr>,
     spent: bool,
 }
 
 impl Token {
-    /// Says whether the request may have run.
+    /// Records whether the request may have run.
     pub fn spend(&mut self, may_have_run: bool) {
         self.spent = may_have_run;
     }
@@ -72,42 +72,46 @@
 
 impl Drop for Token {
     fn drop(&mut self) {
-        if let Some(keeper) = self.keeper
+        if let Some(coordinator) = self.coordinator
             && !self.spent
         {
-            self.desk.send_back(keeper, self.seq, &self.limited);
+            self.broker
+                .send_refund(coordinator, self.seq, &self.limited);
         }
     }
 }
 
-/// Withdraws a question whose asker has gone; it may be counted already.
+/// Refunds a request when its future is dropped before the answer, since it may already
+/// be counted.
 struct Withdraw<'a> {
-    desk: &'a Rc<Broker>,
+    broker: &'a Rc<Broker>,
     seq: u64,
 }
 
 impl Drop for Withdraw<'_> {
     fn drop(&mut self) {
-        let Some(counting) = self.desk.counting.borrow_mut().remove(&self.seq) else {
+        let Some(counting) = self.broker.counting.borrow_mut().remove(&self.seq) else {
             return;
         };
-        let keeper = self.desk.owners.borrow_mut().owner(&counting.shard);
-        if let Some(keeper) = keeper {
-            self.desk.send_back(keeper, self.seq, &counting.limited);
+        let coordinator = self.broker.owners.borrow_mut().owner(&counting.shard);
+        if let Some(coordinator) = coordinator {
+            self.broker
+                .send_refund(coordinator, self.seq, &counting.limited);
         }
     }
 }
 
 impl Broker {
-    /// True when a request is to be counted before a place is looked for.
-    pub fn is_suspicious(&self, limited: &Limited) -> bool {
+    /// True when a request must be counted before a slot is acquired, because its
+    /// organisation was recently over its limit.
+    pub fn was_over_limit(&self, limited: &Limited) -> bool {
         let now = self.clock.now();
         self.meter
             .borrow()
             .was_over_limit(now, &limited.organisation.name)
     }
 
-    /// Counts a request. Dropping the future withdraws.
+    /// Counts a request. Dropping the future withdraws it.
     ///
     /// # Errors
     /// [`Denial`] when it may not run.
@@ -117,84 +121,88 @@
         if let Some(wait) = self.meter.borrow_mut().exhausted_for(now, &organisation) {
             return Err(Denial::Over(wait));
         }
-        let seq = self.next.get();
-        self.next.set(seq + 1);
+        let seq = self.next_seq.get();
+        self.next_seq.set(seq + 1);
         let (reply, answer) = oneshot::channel();
         let mut counting = Counting {
             limited: limited.clone(),
             shard: limit::shard_name(&organisation),
             reply,
-            tries: Tries::new(now),
+            attempts: Attempts::new(now),
         };
         self.send_count(now, seq, &mut counting);
         self.counting.borrow_mut().insert(seq, counting);
-        let withdraw = Withdraw { desk: self, seq };
-        // The sender is dropped only with the desk.
-        let keeper = answer.await.unwrap_or(Ok(None))?;
+        let withdraw = Withdraw { broker: self, seq };
+        // The sender is dropped only with the broker.
+        let coordinator = answer.await.unwrap_or(Ok(None))?;
         drop(withdraw);
         Ok(Token {
-            desk: Rc::clone(self),
+            broker: Rc::clone(self),
             seq,
             limited,
-            keeper,
+            coordinator,
             spent: false,
         })
     }
 
-    /// A keeper answered.
-    pub(super) fn counted(&self, now: Time, from: SocketAddr, seq: u64, verdict: Answer) {
+    /// Handles the answer of a coordinator.
+    pub(super) fn handle_count(&self, now: Time, from: SocketAddr, seq: u64, answer: Answer) {
         let Some(counting) = self.counting.borrow_mut().remove(&seq) else {
             return;
         };
         let organisation = &counting.limited.organisation.name;
         self.meter
             .borrow_mut()
-            .record_answer(now, organisation, from, verdict);
-        let result = match verdict.decision {
-            Decision::Isolated(nodes) => self.decide_alone(now, &counting.limited, nodes),
+            .record_answer(now, organisation, from, answer);
+        let result = match answer.decision {
+            Decision::Isolated(nodes) => self.decide_locally(now, &counting.limited, nodes),
             Decision::Allow => Ok(Some(from)),
             Decision::Deny(wait) => Err(Denial::Over(wait)),
             Decision::Unsettled => Err(Denial::Unsettled),
         };
         let passed = result.is_ok();
         if counting.reply.send(result).is_err() && passed {
-            self.send_back(from, seq, &counting.limited);
+            self.send_refund(from, seq, &counting.limited);
         }
     }
 
-    /// Asks again what got no answer, the next keeper after a while.
+    /// Repeats unanswered requests, and switches to the next coordinator after several
+    /// attempts.
     pub(super) fn repeat_counts(&self, now: Time) {
-        let mut alone = Vec::new();
+        let mut exhausted = Vec::new();
         for (seq, counting) in self.counting.borrow_mut().iter_mut() {
-            let Some(due) = counting.tries.due(now, ANSWER, MOST_PASSED) else {
+            let Some(due) = counting
+                .attempts
+                .due(now, ANSWER_TIMEOUT, MAX_SILENT_COORDINATORS)
+            else {
                 continue;
             };
-            if let Some(keeper) = due.silent {
-                self.pass_over(now, keeper);
+            if let Some(coordinator) = due.silent {
+                self.mark_silent(now, coordinator);
             }
-            if due.alone {
-                alone.push(*seq);
+            if due.give_up {
+                exhausted.push(*seq);
             } else {
                 self.send_count(now, *seq, counting);
             }
         }
-        for seq in alone {
-            self.count_alone(now, seq);
+        for seq in exhausted {
+            self.count_locally(now, seq);
         }
     }
 
-    fn count_alone(&self, now: Time, seq: u64) {
+    fn count_locally(&self, now: Time, seq: u64) {
         let Some(counting) = self.counting.borrow_mut().remove(&seq) else {
             return;
         };
         let nodes = self.view.read().usable().count();
-        let result = self.decide_alone(now, &counting.limited, nodes);
-        // A failure means that the asker has gone.
+        let result = self.decide_locally(now, &counting.limited, nodes);
+        // Fails only if the requester is gone.
         let _ = counting.reply.send(result);
     }
 
-    /// Lets this node's part of the limit through, one of `nodes`.
-    fn decide_alone(
+    /// Admits requests up to this node's share of the limit among `nodes` nodes.
+    fn decide_locally(
         &self,
         now: Time,
         limited: &Limited,
@@ -219,9 +227,9 @@
     }
 
     fn send_count(&self, now: Time, seq: u64, counting: &mut Counting) {
-        let keeper = self.owners.borrow_mut().owner(&counting.shard);
-        counting.tries.sending(now, keeper);
-        let Some(keeper) = keeper else {
+        let coordinator = self.owners.borrow_mut().owner(&counting.shard);
+        counting.attempts.record_send(now, coordinator);
+        let Some(coordinator) = coordinator else {
             return;
         };
         let Limited {
@@ -229,18 +237,21 @@
             rate,
             version,
         } = &counting.limited;
-        let hint = self.meter.borrow().hint(now, &organisation.name, keeper);
+        let hint = self
+            .meter
+            .borrow()
+            .hint(now, &organisation.name, coordinator);
         let count = coordinator::Query {
             organisation: organisation.name.clone(),
             rate: *rate,
             version: *version,
             hint,
         };
-        self.send(keeper, &Request::Count { seq, count });
+        self.send(coordinator, &Request::Count { seq, count });
     }
 
-    fn send_back(&self, keeper: SocketAddr, seq: u64, limited: &Limited) {
+    fn send_refund(&self, coordinator: SocketAddr, seq: u64, limited: &Limited) {
         let organisation = limited.organisation.name.clone();
-        self.send(keeper, &Request::Refund { seq, organisation });
+        self.send(coordinator, &Request::Refund { seq, organisation });
     }
 }
--- a/src/permit/alone.rs
+++ b/src/permit/fallback.rs
@@ -1,5 +1,5 @@
-//! What a gateway decides by itself: whether it may use an endpoint that a pool
-//! named, and which one it takes when no pool answers.
+//! Decisions that a gateway makes locally: whether it may use a granted endpoint, and
+//! which one it uses when no pool answers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,9 +12,8 @@
 use crate::name::Name;
 
 impl Broker {
-    /// The endpoint, unless this node's catalog says that it takes no work. One
-    /// that a fresh catalog lacks is gone; one that an old catalog lacks may be
-    /// new.
+    /// Returns the granted endpoint if this node may use it. An endpoint that is missing
+    /// from a fresh catalog is gone; one that is missing from a stale catalog may be new.
     pub(super) fn usable(
         &self,
         now: Time,
@@ -22,7 +21,7 @@
         service: &Name,
         address: SocketAddr,
     ) -> Option<Arc<Endpoint>> {
-        /// A catalog is fresh while its source confirms it about each second.
+        /// Age up to which a catalog is fresh. Its source confirms it about every second.
         const FRESH: Duration = Duration::from_millis(2_500);
         let catalog = self.catalog.read();
         if let Some(endpoint) = catalog.endpoints.get(id) {
@@ -42,8 +41,8 @@
         }))
     }
 
-    /// No pool answers: takes the endpoint that this node uses least.
-    pub(super) fn admit_alone(&self, now: Time, seq: u64) {
+    /// Grants the endpoint that this node uses least, when no pool answers.
+    pub(super) fn admit_locally(&self, now: Time, seq: u64) {
         let Some(waiting) = self.waiting.borrow_mut().remove(&seq) else {
             return;
         };
@@ -59,15 +58,15 @@
             .values()
             .filter(|endpoint| {
                 endpoint.ready
-                    && endpoint.service == waiting.want.service
-                    && !waiting.want.requirements.avoid.contains(&endpoint.id)
+                    && endpoint.service == waiting.claim.service
+                    && !waiting.claim.requirements.avoid.contains(&endpoint.id)
             })
             .min_by_key(|endpoint| (used(&endpoint.id), seq ^ hash(&endpoint.id)));
         log::info!(
             "{} alone=true waited_ms={} service={}",
             event::POOL_CHANGED,
-            now.since(waiting.since).as_millis(),
-            waiting.want.service,
+            now.since(waiting.started).as_millis(),
+            waiting.claim.service,
         );
         let result = match best {
             Some(endpoint) => Ok(Granted {
@@ -76,7 +75,7 @@
             }),
             None => Err(Refusal::NoEndpoint(NO_ENDPOINT_RETRY)),
         };
-        // A failure means that the asker has gone.
+        // Fails only if the requester is gone.
         let _ = waiting.reply.send(result);
     }
 }
--- a/src/permit/owner.rs
+++ b/src/permit/owner.rs
@@ -1,4 +1,4 @@
-//! Which member keeps a pool, as one node sees it.
+//! Selection of the member that owns a pool, from one node's view.
 
 use std::collections::HashMap;
 use std::hash::{Hash as _, Hasher as _};
@@ -14,14 +14,15 @@
 use crate::pool::shard;
 use crate::snapshot::Cell;
 
-/// Members that a pool is looked for at, one after the other.
-const OWNERS: usize = 4;
-/// How often a silent member is asked whether it is there again. No request waits
-/// for it meanwhile, and all gateways return to it within this: while some are back
-/// and others not, two members keep one pool, or count for one limit.
-const PROBE: Duration = Duration::from_millis(250);
-/// A silent member that left the view is forgotten after this.
-const FORGET: Duration = Duration::from_secs(10);
+/// Maximum number of members that are tried as the owner of a pool, in order of rank.
+const MAX_OWNERS: usize = 4;
+/// Interval between probes of a silent member. No request waits for the probe, and all
+/// gateways return to the member within this interval. While only some have returned,
+/// two members own the same pool or coordinate the same limit.
+const PROBE_INTERVAL: Duration = Duration::from_millis(250);
+/// Time after which a silent member that does not answer probes is dropped, as it may
+/// have left.
+const SILENT_TTL: Duration = Duration::from_secs(10);
 
 #[derive(Clone, Copy, Debug)]
 struct Silent {
@@ -29,39 +30,39 @@
     probed: Time,
 }
 
-/// The members that may keep each pool, and which of them did not answer.
+/// The members that may own each pool, and those that do not answer.
 #[derive(Debug)]
 pub struct Owners {
     view: Arc<Cell<View>>,
     /// The port that pools listen on, the same on every node.
     port: u16,
-    /// The view that `ranked` was worked out of.
-    seen: Option<Arc<View>>,
-    /// Best first.
+    /// The view that `ranked` was computed from.
+    ranked_view: Option<Arc<View>>,
+    /// Owners by pool, in order of rank.
     ranked: HashMap<Name, Vec<SocketAddr>>,
-    /// Those that are passed over: since when, and when last asked.
+    /// Members that do not answer and are skipped.
     silent: HashMap<SocketAddr, Silent>,
 }
 
 impl Owners {
-    /// Nobody is silent yet.
+    /// Creates an instance without silent members.
     pub fn new(view: Arc<Cell<View>>, port: u16) -> Self {
         Self {
             view,
             port,
-            seen: None,
+            ranked_view: None,
             ranked: HashMap::new(),
             silent: HashMap::new(),
         }
     }
 
-    /// A pool answered.
-    pub fn heard(&mut self, owner: SocketAddr) {
+    /// Records an answer of a member.
+    pub fn mark_alive(&mut self, owner: SocketAddr) {
         self.silent.remove(&owner);
     }
 
-    /// A pool did not answer.
-    pub fn silent(&mut self, now: Time, owner: SocketAddr) {
+    /// Records that a member did not answer.
+    pub fn mark_silent(&mut self, now: Time, owner: SocketAddr) {
         let silent = Silent {
             since: now,
             probed: now,
@@ -69,13 +70,13 @@
         self.silent.entry(owner).or_insert(silent);
     }
 
-    /// The silent members that are to be asked now whether they are there again.
+    /// Returns the silent members that are due for a probe.
     pub fn probes(&mut self, now: Time) -> Vec<SocketAddr> {
         self.silent
-            .retain(|_, silent| now.since(silent.since) < FORGET);
+            .retain(|_, silent| now.since(silent.since) < SILENT_TTL);
         let mut due = Vec::new();
         for (owner, silent) in &mut self.silent {
-            if now.since(silent.probed) >= PROBE {
+            if now.since(silent.probed) >= PROBE_INTERVAL {
                 silent.probed = now;
                 due.push(*owner);
             }
@@ -83,16 +84,16 @@
         due
     }
 
-    /// The member that keeps a pool, as far as this node knows.
+    /// Returns the owner of a pool in this node's view.
     pub fn owner(&mut self, pool: &Name) -> Option<SocketAddr> {
         let view = self.view.load();
         if self
-            .seen
+            .ranked_view
             .as_ref()
-            .is_none_or(|seen| !Arc::ptr_eq(seen, &view))
+            .is_none_or(|ranked_view| !Arc::ptr_eq(ranked_view, &view))
         {
             self.ranked.clear();
-            self.seen = Some(Arc::clone(&view));
+            self.ranked_view = Some(Arc::clone(&view));
         }
         let port = self.port;
         let owners = self
@@ -107,8 +108,8 @@
     }
 }
 
-/// The members that may keep a pool, best first: strong VMs, in the pool's own
-/// zone where it has one.
+/// Returns the members that may own a pool, in order of rank. Members with at least half
+/// the power of the strongest one come first, and among them those in the pool's zone.
 fn rank_all(view: &View, pool: &Name, port: u16) -> Vec<SocketAddr> {
     let strongest = view.usable().map(|member| member.power).max().unwrap_or(0);
     let zone = shard::zone(pool);
@@ -124,11 +125,11 @@
         .collect();
     ranked.sort_unstable_by(|a, b| b.cmp(a));
     ranked.dedup_by_key(|(_, _, _, owner)| *owner);
-    ranked.truncate(OWNERS);
+    ranked.truncate(MAX_OWNERS);
     ranked.into_iter().map(|(_, _, _, owner)| owner).collect()
 }
 
-/// How strongly rendezvous hashing favours `owner` for `pool`.
+/// Rendezvous hash of `owner` for `pool`; the highest wins.
 fn rank(pool: &Name, owner: &SocketAddr) -> u64 {
     let mut hasher = Xxh3::new();
     pool.hash(&mut hasher);
--- a/src/permit/post.rs
+++ b/src/permit/send.rs
@@ -1,4 +1,4 @@
-//! What a gateway sends to pools.
+//! Messages from a gateway to pools.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 use crate::wire;
 
 impl Broker {
-    pub(super) fn mention(&self, now: Time) {
+    pub(super) fn send_renewals(&self, now: Time) {
         let mut by_pool: BTreeMap<Name, Vec<Renewal>> = BTreeMap::new();
         for held in self.held.borrow().values() {
             let mut renewal = held.renewal.clone();
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Gives back what nobody here wants, at whichever pool it is.
-    pub(super) fn release_everywhere(&self, seq: u64, owner: SocketAddr) {
+    /// Releases a permit that is not needed, in every pool that may have granted it.
+    pub(super) fn release_in_all_pools(&self, seq: u64, owner: SocketAddr) {
         let catalog = self.catalog.read();
         let mut services: Vec<&Name> = catalog
             .endpoints
@@ -71,12 +71,12 @@
 
     pub(super) fn send_ask(&self, now: Time, seq: u64, waiting: &mut Waiting) {
         let owner = self.owners.borrow_mut().owner(&waiting.pool);
-        waiting.tries.sending(now, owner);
+        waiting.attempts.record_send(now, owner);
         let Some(owner) = owner else {
             return;
         };
-        let waited = now.since(waiting.since);
-        let mut requirements = waiting.want.requirements.clone();
+        let waited = now.since(waiting.started);
+        let mut requirements = waiting.claim.requirements.clone();
         requirements.max_wait = requirements.max_wait.saturating_sub(waited);
         requirements.due = requirements.due.saturating_sub(waited);
         let pool = waiting.pool.clone();
@@ -92,8 +92,8 @@
 
     pub(super) fn send(&self, owner: SocketAddr, question: &Request) {
         match wire::encode(question) {
-            // What does not fit into the socket's buffer is lost like any other
-            // datagram; it is repeated.
+            // A datagram that does not fit into the socket's buffer is lost like any
+            // other and repeated later.
             Ok(bytes) => drop(self.socket.try_send_to(&bytes, owner)),
             Err(error) => log::warn!("{} why=\"{error}\"", event::DATAGRAM_REFUSED),
         }
--- a/tests/permit_owner.rs
+++ b/tests/permit_owner.rs
@@ -1,4 +1,4 @@
-//! Which member keeps a pool, as a node that asks it sees it.
+//! Selection of the member that owns a pool, and failover between members.
 
 #[path = "support/member.rs"]
 mod support;
@@ -41,42 +41,42 @@
     Time::from_millis(10_000 + millis)
 }
 
-/// The node that keeps a pool is frozen. Asked again and again, each caller would
-/// wait; it is passed over for a while, and an answer brings it back at once.
+/// The owner of a pool is paused. It must be skipped, so that callers do not wait for
+/// it, and used again as soon as it answers.
 #[gtest]
 fn owner_silent() {
     let pool = Name::from("s");
     let mut owners = Owners::new(Arc::new(Cell::new(view(&[1, 2, 3]))), PORT);
     let first = owners.owner(&pool).unwrap();
-    owners.silent(at(0), first);
+    owners.mark_silent(at(0), first);
     expect_that!(owners.owner(&pool), not(some(eq(first))));
-    owners.heard(first);
+    owners.mark_alive(first);
     expect_that!(owners.owner(&pool), some(eq(first)));
 }
 
-/// A silent member may be back at any time, and the view says nothing of it. Were a
-/// request tried there, its caller would wait; were it not asked at all, two members
-/// would go on keeping one pool.
+/// The view does not show when a silent member is back, so it is probed. A request sent
+/// there instead would make its caller wait. Without probes, two members would continue
+/// to own the same pool.
 #[gtest]
 fn probes_silent_only() {
     let pool = Name::from("s");
     let mut owners = Owners::new(Arc::new(Cell::new(view(&[1, 2, 3]))), PORT);
     let first = owners.owner(&pool).unwrap();
-    owners.silent(at(0), first);
+    owners.mark_silent(at(0), first);
     expect_that!(owners.probes(at(100)), is_empty());
     expect_that!(owners.probes(at(250)), elements_are![eq(&first)]);
     expect_that!(owners.probes(at(300)), is_empty());
     expect_that!(owners.probes(at(500)), elements_are![eq(&first)]);
     expect_that!(owners.owner(&pool), not(some(eq(first))));
-    owners.heard(first);
+    owners.mark_alive(first);
     expect_that!(owners.probes(at(800)), is_empty());
     expect_that!(owners.owner(&pool), some(eq(first)));
-    // One that left is not asked for good.
-    owners.silent(at(900), first);
+    // A member that has left is not probed forever.
+    owners.mark_silent(at(900), first);
     expect_that!(owners.probes(at(11_000)), is_empty());
 }
 
-/// A weak VM among strong ones would be the bottleneck of every request.
+/// As the owner of a pool, a weak VM among strong ones would be a bottleneck.
 #[gtest]
 fn owner_strong() {
     let pool = Name::from("s");
@@ -86,7 +86,7 @@
     expect_that!(owners.owner(&pool), some(eq(strong)));
 }
 
-/// Takes the questions that come to a member and answers none.
+/// Binds the socket of a member. Unless it is served, requests to it go unanswered.
 fn member_socket(at: u8, port: u16) -> tokio::net::UdpSocket {
     let socket = std::net::UdpSocket::bind(SocketAddr::from(([127, 0, 0, at], port))).unwrap();
     socket.set_nonblocking(true).unwrap();
@@ -101,7 +101,7 @@
     }
 }
 
-fn want() -> Claim {
+fn claim() -> Claim {
     Claim {
         service: "s".into(),
         requirements: Requirements {
@@ -119,12 +119,12 @@
     }
 }
 
-/// The node that keeps a pool is lost, and many requests wait for it. Were the next
-/// member passed over for the first one's silence, as often as there are requests,
-/// they would spread over all members: several would keep one pool or count for one
-/// limit, and callers of a flooding organisation would get a multiple of it.
+/// The owner of a pool is lost while many requests wait for it. If each of them skipped
+/// the next member because of the first one's silence, the requests would spread over all
+/// members. Several members would then own the same pool or coordinate the same limit,
+/// and an organisation that floods could exceed its limit several times over.
 #[gtest]
-fn acquire_many_at_a_silent_owner() {
+fn acquire_many_silent_owner() {
     let port = std::net::UdpSocket::bind("127.0.0.1:0")
         .and_then(|socket| socket.local_addr())
         .unwrap()
@@ -136,9 +136,9 @@
     let mut owners = Owners::new(Arc::clone(&view), port);
     let pool = Name::from("s");
     let first = owners.owner(&pool).unwrap();
-    owners.silent(at(0), first);
+    owners.mark_silent(at(0), first);
     let second = owners.owner(&pool).unwrap();
-    owners.silent(at(0), second);
+    owners.mark_silent(at(0), second);
     let third = owners.owner(&pool).unwrap();
     let number = |owner: SocketAddr| match owner {
         SocketAddr::V4(owner) => owner.ip().octets()[3],
@@ -147,7 +147,7 @@
     actix_rt::System::new().block_on(async {
         let clock = Clock::start();
         let catalog = Arc::new(Cell::new(Catalog::default()));
-        // The first one takes questions and is silent.
+        // The first one receives requests but does not answer.
         let _lost = member_socket(number(first), port);
         actix_rt::spawn(pool::serve::serve(pool::serve::Setup {
             socket: member_socket(number(second), port),
@@ -158,7 +158,7 @@
             tolerance: Tolerance::default(),
         }));
         let last = member_socket(number(third), port);
-        let desk = Broker::new(permit::Setup {
+        let broker = Broker::new(permit::Setup {
             socket: member_socket(8, 0),
             pool_port: port,
             boot: 1,
@@ -167,17 +167,17 @@
             view,
             tolerance: Tolerance::default(),
         });
-        actix_rt::spawn(Rc::clone(&desk).run());
+        actix_rt::spawn(Rc::clone(&broker).run());
         for _ in 0..20 {
-            let desk = Rc::clone(&desk);
+            let broker = Rc::clone(&broker);
             actix_rt::spawn(async move {
-                // There is no endpoint: the pool of the second member refuses.
-                let _ = desk.acquire(want()).await;
+                // There is no endpoint, so the pool of the second member refuses.
+                let _ = broker.acquire(claim()).await;
             });
         }
         tokio::time::sleep(Duration::from_millis(600)).await;
         let mut buffer = [0; 1_500];
-        let asked = last.try_recv_from(&mut buffer);
-        expect_that!(asked.is_ok(), eq(false));
+        let received = last.try_recv_from(&mut buffer);
+        expect_that!(received.is_ok(), eq(false));
     });
 }
--- a/tests/permit_zones.rs
+++ b/tests/permit_zones.rs
@@ -1,4 +1,4 @@
-//! Which zone's pool a gateway asks, over real datagrams.
+//! Choice of the zone whose pool a gateway tries first, over real datagrams.
 
 #[path = "support/member.rs"]
 mod support;
@@ -21,7 +21,7 @@
 use auburnspoke::snapshot::Cell;
 use googletest::prelude::*;
 
-/// Endpoints of each zone, and their slots: enough that each zone has a pool.
+/// Endpoints per zone and slots per endpoint, enough that each zone has its own pool.
 const ENDPOINTS: usize = 3;
 const SLOTS: u32 = 40;
 const ZONES: [&str; 3] = ["z0", "z1", "z2"];
@@ -63,8 +63,8 @@
     }
 }
 
-/// A gateway in `z0`, and the pools of all zones.
-fn desk() -> Rc<Broker> {
+/// Starts the pools of all zones, and returns the broker of a gateway in `z0`.
+fn broker() -> Rc<Broker> {
     let clock = Clock::start();
     let catalog = Arc::new(Cell::new(catalog()));
     let pools = local();
@@ -78,7 +78,7 @@
         own: [127, 0, 0, 1].into(),
         tolerance: Tolerance::default(),
     }));
-    let desk = Broker::new(permit::Setup {
+    let broker = Broker::new(permit::Setup {
         socket: local(),
         pool_port: port,
         boot: 1,
@@ -87,11 +87,11 @@
         view,
         tolerance: Tolerance::default(),
     });
-    actix_rt::spawn(Rc::clone(&desk).run());
-    desk
+    actix_rt::spawn(Rc::clone(&broker).run());
+    broker
 }
 
-async fn acquire(desk: &Rc<Broker>) -> Option<Permit> {
+async fn acquire(broker: &Rc<Broker>) -> Option<Permit> {
     let requirements = Requirements {
         class: Class::Online,
         priority: 0,
@@ -104,40 +104,39 @@
         suspect: false,
         avoid: Vec::new(),
     };
-    let want = Claim {
+    let claim = Claim {
         service: "llm".into(),
         requirements,
     };
-    desk.acquire(want).await.ok()
+    broker.acquire(claim).await.ok()
 }
 
 #[gtest]
 fn acquire_own_zone_first() {
-    // Each answer that comes from another zone is paid for by the byte, and its
-    // events come later.
+    // Answers from another zone incur traffic charges and higher latency.
     actix_rt::System::new().block_on(async {
-        let desk = desk();
+        let broker = broker();
         let mut held = Vec::new();
         for _ in 0..60 {
-            held.push(acquire(&desk).await.unwrap());
+            held.push(acquire(&broker).await.unwrap());
         }
-        let near = |permit: &&Permit| *permit.endpoint.zone == *"z0";
-        expect_that!(held.iter().filter(near).count(), eq(60));
+        let in_own_zone = |permit: &&Permit| *permit.endpoint.zone == *"z0";
+        expect_that!(held.iter().filter(in_own_zone).count(), eq(60));
     });
 }
 
 #[gtest]
 fn acquire_own_zone_full() {
-    // A peak fills the slots of one zone. Who comes next must not wait there
-    // until it is too late, while other zones have room.
+    // A peak fills the slots of one zone. Further requests must not wait there until
+    // their deadline while other zones have free slots.
     actix_rt::System::new().block_on(async {
-        let desk = desk();
+        let broker = broker();
         let mut held = Vec::new();
         let own = ENDPOINTS * SLOTS as usize;
         for _ in 0..own + 20 {
-            held.push(acquire(&desk).await.unwrap());
+            held.push(acquire(&broker).await.unwrap());
         }
-        let far = |permit: &&Permit| *permit.endpoint.zone != *"z0";
-        expect_that!(held.iter().filter(far).count(), eq(20));
+        let in_other_zone = |permit: &&Permit| *permit.endpoint.zone != *"z0";
+        expect_that!(held.iter().filter(in_other_zone).count(), eq(20));
     });
 }
