--- a/src/limit.rs
+++ b/src/limit.rs
@@ -1,16 +1,16 @@
 //! Limits of each organisation over all nodes, without a write for each request.
 //!
-//! On the users' platform each request is counted by one node, the **keeper** of its
-//! organisation ([`keeper`], [`meter`] at the gateways, [`reach`]): their limits hold
-//! in any few seconds, and most organisations send less than a request a second to
-//! each node.
+//! On the users' platform a single node, the **coordinator** of the organisation, counts each
+//! request ([`coordinator`], [`meter`] at the gateways, [`isolation`]): there the limits have
+//! to hold over any few seconds, and most organisations send less than one request per second
+//! to each node.
 //!
-//! By itself the product has limits of rate and concurrency, without a message for
-//! each request. One node, the organisation's **owner**, is found by rendezvous
-//! hashing. Each gateway that sees the organisation tells the owner about once a
-//! second how much is asked of it and gets a share for a few seconds.
+//! On its own interface the product limits rate and concurrency without a message for each
+//! request. One node, the organisation's **owner**, is chosen by rendezvous hashing. Each
+//! gateway that receives requests of the organisation reports its demand to the owner about
+//! once per second and gets a share that is valid for a few seconds.
 //!
-//! Both are soft state; docs/design/limits.md compares the ways weighed.
+//! Both keep soft state only; docs/design/limits.md compares the alternatives.
 
 use std::time::Duration;
 
@@ -33,86 +33,86 @@
 pub use limiter::Limiter;
 pub use owner::Owner;
 
-/// What a node that is cut off lets through, of its equal part of a limit: others
-/// may reach a keeper all the while, which lets all of the limit through.
+/// Fraction of its equal part of a limit that an isolated node lets through. Other nodes may
+/// still reach a coordinator, which lets the whole limit through.
 const ISOLATED_FRACTION: f64 = 0.25;
-/// How often a gateway reports an organisation that asks something of it.
+/// Interval between a gateway's reports about an active organisation.
 pub const REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// How long a share holds; some reports may get lost meanwhile.
+/// How long a share is valid; long enough for some reports to get lost.
 pub const GRANT_TTL: Duration = Duration::from_secs(4);
 
-/// What is asked of one gateway by one organisation.
+/// Demand of one organisation at one gateway.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Demand {
-    /// Questions a second, the refused ones among them.
+    /// Requests per second, including refused ones.
     pub rate: f32,
-    /// Most questions at a time, the refused ones among them.
+    /// Maximum number of concurrent requests, including refused ones.
     pub concurrency: u32,
 }
 
-/// What one gateway may admit of one organisation.
+/// Share of an organisation's limits that one gateway may admit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Grant {
-    /// Questions a second.
+    /// Requests per second.
     pub rate: f32,
-    /// Questions at a time.
+    /// Concurrent requests.
     pub concurrency: u32,
 }
 
-/// An organisation's limits over the whole fleet; 0 is no bound.
+/// Limits of an organisation over all nodes; 0 means unlimited.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Bound {
-    /// Questions a second.
+    /// Requests per second.
     pub rate: u32,
-    /// Questions at a time.
+    /// Concurrent requests.
     pub concurrency: u32,
 }
 
-/// How much an organisation may ask of all nodes together: at any time the
-/// requests of so many seconds, and a burst beside them.
+/// Token bucket parameters of an organisation's limit over all nodes: in any period it may
+/// send the requests of that many seconds, plus a burst.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rate {
-    /// Requests a second.
+    /// Requests per second.
     #[serde(rename = "r")]
     pub per_second: f64,
-    /// Requests at once.
+    /// Requests that may be sent at once.
     #[serde(rename = "b")]
     pub burst: f64,
 }
 
-/// How far a deployment lets the count of all nodes be off. A small part
-/// is given to every organisation, so that none is refused below its limit because
-/// its requests were counted a moment late; the rest is for moments in which two
-/// nodes count, or none.
+/// How far the requests admitted by all nodes may exceed a limit. A small part is granted to
+/// every organisation at all times, so that none is refused below its limit because its
+/// requests were counted slightly late; the rest covers times at which two nodes count, or
+/// none does.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tolerance {
     /// The time over which requests are counted.
     pub window: Duration,
-    /// Part of the window's limit that may be exceeded.
+    /// Allowed excess as a fraction of the window's limit.
     pub excess: f64,
-    /// Requests of a window by which it may be exceeded besides.
+    /// Allowed excess in requests per window, in addition to the fraction.
     pub slack: f64,
 }
 
-/// Shards of the organisations. Each falls to one member, so that a node ranks the
-/// members for so many shards when they change, and not for each organisation.
+/// Number of shards of the organisations. Each shard is assigned to one member, so that a
+/// membership change ranks the members once per shard instead of once per organisation.
 const SHARDS: u64 = 64;
 
-/// The shard of an organisation.
+/// Returns the shard of an organisation.
 pub fn shard(organisation: &str) -> u64 {
     xxh3_64_with_seed(organisation.as_bytes(), 2) % SHARDS
 }
 
-/// The name of an organisation's shard, for which a member is chosen as for a pool.
+/// Returns the name of an organisation's shard, by which its member is chosen as for a pool.
 pub fn shard_name(organisation: &str) -> Name {
     format!("limit-{}", shard(organisation)).into()
 }
 
-/// The part of the tolerance that every organisation may use at all times.
-const MORE: f64 = 0.05;
+/// Fraction of the tolerance that every organisation may use at all times.
+const HEADROOM_FRACTION: f64 = 0.05;
 
 impl Default for Tolerance {
-    /// Limits are kept to the request.
+    /// No tolerance: limits are exact.
     fn default() -> Self {
         Self {
             window: Duration::from_secs(5),
@@ -123,23 +123,23 @@
 }
 
 impl Tolerance {
-    /// What may be sent beside a limit at all times.
+    /// Returns the rate that may be sent in addition to a limit at all times.
     pub fn headroom(&self, rate: Rate) -> Rate {
         Rate {
-            per_second: rate.per_second * self.excess * MORE,
-            burst: rate.burst * self.excess * MORE + self.slack * MORE,
+            per_second: rate.per_second * self.excess * HEADROOM_FRACTION,
+            burst: rate.burst * self.excess * HEADROOM_FRACTION + self.slack * HEADROOM_FRACTION,
         }
     }
 
-    /// Requests beyond the limit that a keeper may let through of whose past
-    /// nobody knows anything.
+    /// Returns the number of requests beyond the limit that a coordinator may let through while
+    /// it has no history of an organisation.
     pub fn initial_excess(&self, rate: Rate) -> f64 {
         let all = rate.per_second * self.window.as_secs_f64() + rate.burst;
         all * self.excess / 8.0 + self.slack / 16.0
     }
 }
 
-/// The node that divides the limits of `organisation`.
+/// Returns the node that divides the limits of `organisation`.
 pub fn owner<'a>(view: &'a View, organisation: &str) -> Option<&'a Member> {
     let seed = xxh3_64_with_seed(organisation.as_bytes(), 1);
     view.usable().max_by_key(|member| {
--- a/src/limit/admission.rs
+++ b/src/limit/admission.rs
@@ -1,4 +1,5 @@
-//! What one gateway takes on at a time, shed by class and fairly.
+//! Admission control of a gateway: a limit on concurrent requests, with load shedding by class
+//! and fairness between organisations.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,14 +8,14 @@
 use crate::outcome::{Reason, Refusal};
 use crate::request::Class;
 
-/// Part of the capacity above which batch work is refused.
-const BATCH_PART: f64 = 0.7;
-/// Part of the capacity above which organisations are held to equal parts.
-const FAIR_PART: f64 = 0.8;
-/// When a refused request should come back.
+/// Fraction of the capacity from which on batch work is refused.
+const BATCH_FRACTION: f64 = 0.7;
+/// Fraction of the capacity from which on organisations are limited to equal parts.
+const FAIR_FRACTION: f64 = 0.8;
+/// Delay after which a refused request should be retried.
 const RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// Counts what is under way at one gateway.
+/// Counts the requests in flight at one gateway.
 ///
 /// Without it an overloaded gateway would run out of memory, and one noisy
 /// organisation could fill it for all others.
@@ -26,7 +27,7 @@
 }
 
 impl Admission {
-    /// A gate for `capacity` requests at a time.
+    /// Creates the admission control for `capacity` concurrent requests.
     pub fn new(capacity: u32) -> Self {
         Self {
             capacity: capacity.max(1),
@@ -35,10 +36,10 @@
         }
     }
 
-    /// Lets a request in, which [`Admission::leave`] must end.
+    /// Admits a request; [`Admission::release`] must be called when it ends.
     ///
     /// # Errors
-    /// [`Reason::Overloaded`] with when to come back; nothing has run.
+    /// [`Reason::Overloaded`] with the delay until a retry; nothing has run.
     pub fn admit(&mut self, class: Class, organisation: &Name) -> Result<(), Refusal> {
         let own = self.running.get(organisation).copied().unwrap_or(0);
         if !self.admits(class, own) {
@@ -49,7 +50,7 @@
         Ok(())
     }
 
-    /// A request that was let in has ended.
+    /// Records that an admitted request has ended.
     pub fn release(&mut self, organisation: &str) {
         let Some(own) = self.running.get_mut(organisation) else {
             return;
@@ -61,20 +62,20 @@
         }
     }
 
-    /// Requests under way.
+    /// Returns the number of requests in flight.
     pub fn total(&self) -> u32 {
         self.total
     }
 
     fn admits(&self, class: Class, own: u32) -> bool {
-        let part = f64::from(self.total) / f64::from(self.capacity);
-        if part >= 1.0 || (class == Class::Batch && part >= BATCH_PART) {
+        let load = f64::from(self.total) / f64::from(self.capacity);
+        if load >= 1.0 || (class == Class::Batch && load >= BATCH_FRACTION) {
             return false;
         }
-        if part < FAIR_PART {
+        if load < FAIR_FRACTION {
             return true;
         }
-        // One more than are here, so that there is a place for a newcomer.
+        // One more than are present, to reserve room for another organisation.
         let sharing = self.running.len() + 1;
         f64::from(own) < f64::from(self.capacity) / sharing as f64
     }
--- a/src/limit/allowance.rs
+++ b/src/limit/allowance.rs
@@ -1,5 +1,4 @@
-//! What an organisation may still send: what its limit allows, and beside it a
-//! little more.
+//! Remaining allowance of an organisation: its limit, plus a small headroom.
 
 use std::time::Duration;
 
@@ -7,18 +6,18 @@
 use super::{Rate, Tolerance};
 use crate::clock::Time;
 
-/// Out of which bucket a request was let through.
+/// Bucket that a request's token was taken from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// Its limit allows it.
+    /// The request is within the limit.
     Limit,
-    /// It is beyond the limit, within what the deployment tolerates.
+    /// The request is beyond the limit, but within the deployment's tolerance.
     Tolerance,
 }
 
-/// Two buckets. The first one is the limit to the request, so that nothing below
-/// it is refused because more was let through before; the second one is for what
-/// arrives bunched a little closer than it was sent.
+/// Two token buckets. The first one is the exact limit, so that no request below it is refused
+/// because more was let through before. The second one absorbs requests that arrive in a
+/// denser burst than they were sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowance {
     limit: Bucket,
@@ -26,29 +25,30 @@
 }
 
 impl Allowance {
-    /// What a limit allows at `now`: all of it, or `first` requests.
+    /// Creates the allowance at `now`, with full buckets or with `first` requests.
     pub fn new(now: Time, rate: Rate, tolerance: Tolerance, first: Option<f64>) -> Self {
         let Rate { per_second, burst } = rate;
-        let more = tolerance.headroom(rate);
+        let headroom = tolerance.headroom(rate);
         Self {
             limit: Bucket::new(now, per_second, burst.max(1.0), first.unwrap_or(burst)),
-            tolerance: Bucket::new(now, more.per_second, more.burst, {
-                if first.is_some() { 0.0 } else { more.burst }
+            tolerance: Bucket::new(now, headroom.per_second, headroom.burst, {
+                if first.is_some() { 0.0 } else { headroom.burst }
             }),
         }
     }
 
-    /// Allows another limit from now on.
+    /// Changes the limit from `now` on.
     pub fn resize(&mut self, now: Time, rate: Rate, tolerance: Tolerance) {
-        let more = tolerance.headroom(rate);
+        let headroom = tolerance.headroom(rate);
         self.limit.resize(now, rate.per_second, rate.burst.max(1.0));
-        self.tolerance.resize(now, more.per_second, more.burst);
+        self.tolerance
+            .resize(now, headroom.per_second, headroom.burst);
     }
 
-    /// Lets a request through.
+    /// Takes a token for a request.
     ///
     /// # Errors
-    /// How long until there is room.
+    /// The time until a token is available.
     pub fn take(&mut self, now: Time) -> Result<Source, Duration> {
         match self.limit.take(now) {
             Ok(()) => Ok(Source::Limit),
@@ -59,7 +59,7 @@
         }
     }
 
-    /// A request did not run.
+    /// Returns the token of a request that did not run.
     pub fn refund(&mut self, now: Time, source: Source) {
         match source {
             Source::Limit => self.limit.refund(now),
@@ -67,12 +67,12 @@
         }
     }
 
-    /// Requests that may be sent at `now`.
+    /// Returns the number of requests that may be sent at `now`.
     pub fn level(&mut self, now: Time) -> f64 {
         self.limit.level(now) + self.tolerance.level(now)
     }
 
-    /// Lowers it to at most so many requests.
+    /// Lowers the allowance to at most `most` requests.
     pub fn cap(&mut self, now: Time, most: f64) {
         self.limit.cap(now, most);
         let left = most - self.limit.level(now);
--- a/src/limit/coordinator.rs
+++ b/src/limit/coordinator.rs
@@ -1,12 +1,11 @@
-//! The node that counts an organisation's requests for all others.
+//! The node that counts an organisation's requests on behalf of all nodes.
 //!
-//! Whichever member a shard of the organisations falls to keeps their buckets;
-//! each request is counted there while its place is looked for, so that the
-//! limit is exact and no time is added. All of it is soft state. What would go
-//! wrong where the keeper changes: a bucket that began full would grant a second
-//! burst for each change, and one that began empty would refuse what is below
-//! the limit. So gateways tell with each question what level they last heard of
-//! from another keeper, and a new bucket begins there.
+//! The member that a shard of organisations is assigned to holds their token buckets. Each
+//! request is counted there while the pool looks for an endpoint, so that the limit is exact
+//! without added latency. All of it is soft state. When the coordinator changes, a bucket that
+//! starts full would grant a second burst at each change, and one that starts empty would
+//! refuse requests below the limit. Gateways therefore send with each query the level that
+//! another coordinator last returned, and a new bucket starts from it.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -20,72 +19,71 @@
 use crate::name::Name;
 use crate::pool::Key;
 
-/// For how long a token can be put back, and a question be repeated: longer
-/// than a request may wait for a place.
-const REMEMBERED: Duration = Duration::from_secs(6);
-/// An organisation that nobody asks for is forgotten when its bucket is surely
-/// full again.
-const FORGET: Duration = Duration::from_secs(120);
-/// Tokens of a bucket whose past nobody knows.
-const FIRST_TOKENS: f64 = 1.0;
-/// A process that has run for so long knows the members, or is alone indeed.
-const SETTLE: Duration = Duration::from_secs(2);
-/// One that has started sees all others when so long no further one came: they tell
-/// each other every 100 ms.
-const STABLE: Duration = Duration::from_millis(150);
-/// One of so many processes that have just started lets an organisation's first
-/// request through.
+/// How long a token can be refunded and a query be repeated: longer than a request may wait for
+/// an endpoint.
+const TOKEN_TTL: Duration = Duration::from_secs(6);
+/// Idle time after which an organisation is evicted; its bucket is certainly full again by then.
+const ACCOUNT_TTL: Duration = Duration::from_secs(120);
+/// Tokens of a new bucket without history.
+const INITIAL_TOKENS: f64 = 1.0;
+/// Uptime after which a process has found the members, or is really the only one.
+const SETTLE_TIME: Duration = Duration::from_secs(2);
+/// A new process has found all members once their number has not changed for this long, since
+/// members gossip every 100 ms.
+const STABLE_TIME: Duration = Duration::from_millis(150);
+/// One in this many processes that have just started lets an organisation's first request
+/// through.
 const UNSETTLED_ONE_IN: u64 = 12;
 
-/// What a gateway asks.
+/// Query of a gateway about one request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Query {
     /// The organisation.
     #[serde(rename = "o")]
     pub organisation: Name,
-    /// Its limit, in the configuration of that version.
+    /// Its limit in that version of the configuration.
     #[serde(rename = "l")]
     pub rate: Rate,
-    /// The version; the newest that is heard of counts.
+    /// The version of the configuration; the newest received one applies.
     #[serde(rename = "v")]
     pub version: u64,
-    /// The level that another keeper told last, and how long ago.
+    /// The level that another coordinator last returned.
     #[serde(rename = "h", default, skip_serializing_if = "Option::is_none")]
     pub hint: Option<Hint>,
 }
 
-/// How many tokens a keeper had.
+/// Token level at another coordinator.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Hint {
     /// The tokens.
     #[serde(rename = "t")]
     pub tokens: f64,
-    /// How long ago it said so.
+    /// How long ago that coordinator returned it.
     #[serde(rename = "a")]
     pub age: Duration,
 }
 
-/// What a keeper decides of one request.
+/// Decision of a coordinator about one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Decision {
-    /// It is counted and may run.
+    /// The request is counted and may run.
     #[serde(rename = "p")]
     Allow,
-    /// It is over the limit; so long until there is room.
+    /// The request is over the limit; a token is available after this time.
     #[serde(rename = "o")]
     Deny(Duration),
-    /// The keeper has just started and can't tell.
+    /// The coordinator has just started and can't decide.
     #[serde(rename = "u")]
     Unsettled,
-    /// The keeper is this node, which is cut off from the others of so many nodes.
+    /// The coordinator is this node, and it is isolated from the others of this many nodes.
     #[serde(rename = "a")]
     Isolated(usize),
 }
 
-/// What a keeper says.
+/// Answer of a coordinator.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Answer {
-    /// Of the request.
+    /// The decision about the request.
     #[serde(rename = "r")]
     pub decision: Decision,
     /// Tokens left.
@@ -97,35 +95,35 @@
     allowance: Allowance,
     rate: Rate,
     version: u64,
-    asked: Time,
-    /// Requests that were let through, until they are forgotten.
+    last_query: Time,
+    /// Requests that were let through, for [`TOKEN_TTL`].
     passed: HashMap<Key, (Time, Source)>,
     order: VecDeque<Key>,
 }
 
-/// Since when, and until when, a shard's questions came here.
+/// Period in which queries of a shard arrived here.
 #[derive(Clone, Copy)]
 struct Term {
-    began: Time,
-    asked: Time,
+    first_query: Time,
+    last_query: Time,
 }
 
-/// The limits that this node keeps for all others.
+/// Counts the requests of organisations on behalf of all nodes.
 pub struct Coordinator {
     started: Time,
     tolerance: Tolerance,
     terms: HashMap<u64, Term>,
     settled: bool,
-    /// Requests that were let through before, one an organisation.
+    /// Requests that were let through before settling, one per organisation.
     early: HashMap<Name, Key>,
-    /// The nodes that it sees, and since when so many.
+    /// Number of nodes in the membership view, and the time of its last change.
     nodes: usize,
     changed: Time,
     accounts: HashMap<Name, Account>,
 }
 
 impl Coordinator {
-    /// Keeps none yet, in a process that started at `started`.
+    /// Creates a coordinator without accounts, in a process that started at `started`.
     pub fn new(started: Time, tolerance: Tolerance) -> Self {
         Self {
             started,
@@ -139,42 +137,43 @@
         }
     }
 
-    /// This process sees `nodes`, itself among them. Until it sees the others it leaves
-    /// their questions unanswered, and lets next to nothing through itself: when all
-    /// nodes restart at once each takes itself, or one of the few that it sees, for
-    /// the keeper of every limit, and together they would let a multiple of it through.
+    /// Sets the number of nodes in the membership view, including this one. Until it has found
+    /// the others, the coordinator does not answer their queries and lets almost nothing
+    /// through: when all nodes restart at once, each considers itself, or one of the few that
+    /// it has found, the coordinator of every limit, and together they would let a multiple
+    /// of it through.
     pub fn set_node_count(&mut self, now: Time, nodes: usize) {
         if nodes != self.nodes {
             self.nodes = nodes;
             self.changed = now;
         }
-        let stable = nodes > 1 && now.since(self.changed) >= STABLE;
-        self.settled |= stable || now.since(self.started) >= SETTLE;
+        let stable = nodes > 1 && now.since(self.changed) >= STABLE_TIME;
+        self.settled |= stable || now.since(self.started) >= SETTLE_TIME;
     }
 
-    /// True when it answers questions of other nodes.
+    /// True when it answers queries of other nodes.
     pub fn is_settled(&self) -> bool {
         self.settled
     }
 
-    /// Counts a request. The same one may be asked about again.
-    pub fn take(&mut self, now: Time, key: Key, question: &Query) -> Answer {
+    /// Counts a request. Idempotent: a repeated query for the same request is counted once.
+    pub fn take(&mut self, now: Time, key: Key, query: &Query) -> Answer {
         if !self.settled {
-            return self.take_early(key, question);
+            return self.take_early(key, query);
         }
         let tolerance = self.tolerance;
-        let known = self.has_kept(now, &question.organisation);
+        let has_history = self.has_history(now, &query.organisation);
         let account = self
             .accounts
-            .entry(question.organisation.clone())
+            .entry(query.organisation.clone())
             .or_insert_with(|| {
                 let first =
-                    (!known).then(|| FIRST_TOKENS + tolerance.initial_excess(question.rate));
-                Account::new(now, first, tolerance, question)
+                    (!has_history).then(|| INITIAL_TOKENS + tolerance.initial_excess(query.rate));
+                Account::new(now, first, tolerance, query)
             });
-        account.asked = now;
-        account.follow(now, tolerance, question);
-        account.forget(now);
+        account.last_query = now;
+        account.update(now, tolerance, query);
+        account.evict_tokens(now);
         let decision = match account.take(now, key) {
             Ok(()) => Decision::Allow,
             Err(wait) => Decision::Deny(wait),
@@ -185,13 +184,13 @@
         }
     }
 
-    /// Lets an organisation's first request through at some of the processes that
-    /// don't know the members yet.
-    fn take_early(&mut self, key: Key, question: &Query) -> Answer {
-        let first = match self.early.get(&question.organisation) {
+    /// Lets an organisation's first request through at some of the processes that have not
+    /// found the members yet.
+    fn take_early(&mut self, key: Key, query: &Query) -> Answer {
+        let first = match self.early.get(&query.organisation) {
             Some(first) => Some(*first),
-            None if is_chosen(key, question) => {
-                self.early.insert(question.organisation.clone(), key);
+            None if is_chosen(key, query) => {
+                self.early.insert(query.organisation.clone(), key);
                 Some(key)
             }
             None => None,
@@ -207,27 +206,26 @@
         }
     }
 
-    /// True when this node has kept the limits of the organisation's shard for as
-    /// long as requests are counted, or would have, since no node came or went: then
-    /// it knows of an organisation that sent something. Else another node may have
-    /// let through what the limit allows.
-    fn has_kept(&mut self, now: Time, organisation: &str) -> bool {
+    /// True when this node has coordinated the organisation's shard for a whole window, or
+    /// would have, because the number of nodes has not changed for that long: its history is
+    /// then complete. Otherwise another node may already have let the limit through.
+    fn has_history(&mut self, now: Time, organisation: &str) -> bool {
         let window = self.tolerance.window;
         let term = self
             .terms
             .entry(super::shard(organisation))
             .or_insert(Term {
-                began: now,
-                asked: now,
+                first_query: now,
+                last_query: now,
             });
-        if now.since(term.asked) > window {
-            term.began = now;
+        if now.since(term.last_query) > window {
+            term.first_query = now;
         }
-        term.asked = now;
-        now.since(term.began) >= window || now.since(self.changed) >= window
+        term.last_query = now;
+        now.since(term.first_query) >= window || now.since(self.changed) >= window
     }
 
-    /// A request that was let through did not run.
+    /// Returns the token of a request that was let through and did not run.
     pub fn refund(&mut self, now: Time, key: Key, organisation: &Name) {
         let Some(account) = self.accounts.get_mut(organisation) else {
             return;
@@ -237,13 +235,13 @@
         }
     }
 
-    /// Forgets organisations that nobody asks for any more.
+    /// Evicts organisations without recent queries.
     pub fn sweep(&mut self, now: Time) {
         self.accounts
-            .retain(|_, account| now.since(account.asked) < FORGET);
+            .retain(|_, account| now.since(account.last_query) < ACCOUNT_TTL);
     }
 
-    /// Organisations that it counts for.
+    /// Returns the number of organisations that it counts for.
     pub fn len(&self) -> usize {
         self.accounts.len()
     }
@@ -254,37 +252,37 @@
     }
 }
 
-/// One of some nodes that have just started lets an organisation's first request
-/// through, since all of them may be asked.
-fn is_chosen(key: Key, question: &Query) -> bool {
+/// True for one in [`UNSETTLED_ONE_IN`] gateways and organisations. While all nodes have just
+/// started, each of them may receive an organisation's first request.
+fn is_chosen(key: Key, query: &Query) -> bool {
     let seed = key.gateway.port().into();
     let address = key.gateway.ip().to_string();
     let mixed = xxh3_64_with_seed(address.as_bytes(), seed);
-    xxh3_64_with_seed(question.organisation.as_bytes(), mixed).is_multiple_of(UNSETTLED_ONE_IN)
+    xxh3_64_with_seed(query.organisation.as_bytes(), mixed).is_multiple_of(UNSETTLED_ONE_IN)
 }
 
 impl Account {
-    fn new(now: Time, first: Option<f64>, tolerance: Tolerance, question: &Query) -> Self {
+    fn new(now: Time, first: Option<f64>, tolerance: Tolerance, query: &Query) -> Self {
         Self {
-            allowance: Allowance::new(now, question.rate, tolerance, first),
-            rate: question.rate,
-            version: question.version,
-            asked: now,
+            allowance: Allowance::new(now, query.rate, tolerance, first),
+            rate: query.rate,
+            version: query.version,
+            last_query: now,
             passed: HashMap::new(),
             order: VecDeque::new(),
         }
     }
 
-    /// Takes the newest limit, and what another keeper let through.
-    fn follow(&mut self, now: Time, tolerance: Tolerance, question: &Query) {
-        if question.version > self.version {
-            self.version = question.version;
-            if question.rate != self.rate {
-                self.rate = question.rate;
+    /// Applies the newest limit, and the level of another coordinator.
+    fn update(&mut self, now: Time, tolerance: Tolerance, query: &Query) {
+        if query.version > self.version {
+            self.version = query.version;
+            if query.rate != self.rate {
+                self.rate = query.rate;
                 self.allowance.resize(now, self.rate, tolerance);
             }
         }
-        if let Some(Hint { tokens, age }) = question.hint {
+        if let Some(Hint { tokens, age }) = query.hint {
             let since = self.rate.per_second * age.as_secs_f64();
             self.allowance.cap(now, tokens + since);
         }
@@ -300,10 +298,10 @@
         Ok(())
     }
 
-    fn forget(&mut self, now: Time) {
+    fn evict_tokens(&mut self, now: Time) {
         while let Some(key) = self.order.front() {
             match self.passed.get(key) {
-                Some((at, _)) if now.since(*at) < REMEMBERED => return,
+                Some((at, _)) if now.since(*at) < TOKEN_TTL => return,
                 _ => {}
             }
             self.passed.remove(key);
--- a/src/limit/isolation.rs
+++ b/src/limit/isolation.rs
@@ -1,45 +1,47 @@
-//! Whether a node is cut off from the others.
+//! Detection of a node that is isolated from the others.
 //!
-//! A node that is cut off may be the keeper of a limit, or take itself for it after
-//! a while. What it lets through then comes on top of what the others do. It can't
-//! tell that from a real loss of the others by itself; but a node that is cut off
-//! hears nothing of the store either, and nobody asks it anything.
+//! An isolated node may be the coordinator of a limit, or consider itself to be after a while.
+//! What it lets through comes on top of what the others let through. By membership alone it
+//! can't distinguish isolation from a real loss of the others; but an isolated node receives
+//! nothing from the store either, and no queries from other nodes.
 
 use std::time::Duration;
 
 use crate::clock::Time;
 
-/// For how long nodes are remembered that are no longer seen.
-const REMEMBERED: Duration = Duration::from_secs(10);
-/// A node that has heard of the store within this is not cut off.
-const HEARD: Duration = Duration::from_millis(2_500);
-/// Nor is one that another node asked something within this.
-const QUIET: Duration = Duration::from_millis(800);
+/// How long lost nodes still count.
+const NODE_TTL: Duration = Duration::from_secs(10);
+/// A node with an answer of the store within this time is not isolated.
+const STORE_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Nor is a node with a query of another node within this time.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// The nodes that were seen lately.
+/// The number of recently seen nodes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Isolation {
-    most: usize,
+    max_nodes: usize,
     seen: Time,
 }
 
 impl Isolation {
-    /// Takes the number of nodes that are seen now.
+    /// Sets the number of nodes in the current membership view.
     pub fn set_node_count(&mut self, now: Time, nodes: usize) {
-        if nodes >= self.most || now.since(self.seen) > REMEMBERED {
-            self.most = nodes;
+        if nodes >= self.max_nodes || now.since(self.seen) > NODE_TTL {
+            self.max_nodes = nodes;
             self.seen = now;
         }
     }
 
-    /// The nodes that were there lately.
+    /// Returns the highest recent number of nodes.
     pub fn nodes(&self) -> usize {
-        self.most
+        self.max_nodes
     }
 
-    /// True when this node seems to be cut off: it heard of the store `heard` ago,
-    /// and of another node `asked` ago.
-    pub fn is_isolated(&self, heard: Option<Duration>, asked: Duration) -> bool {
-        self.most > 1 && heard.is_some_and(|ago| ago >= HEARD) && asked >= QUIET
+    /// True when this node appears to be isolated, by the time since the store's last answer and
+    /// since the last query of another node.
+    pub fn is_isolated(&self, store_age: Option<Duration>, query_age: Duration) -> bool {
+        self.max_nodes > 1
+            && store_age.is_some_and(|ago| ago >= STORE_TIMEOUT)
+            && query_age >= QUERY_TIMEOUT
     }
 }
--- a/src/limit/limiter.rs
+++ b/src/limit/limiter.rs
@@ -1,4 +1,4 @@
-//! The side of a gateway, which admits within its share.
+//! Gateway side of the shared limits: admits requests within the gateway's share.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,29 +9,29 @@
 use crate::name::Name;
 use crate::outcome::{Reason, Refusal};
 
-/// Seconds of a share's rate that may be used at once.
+/// Burst of a share, in seconds of its rate.
 const BURST_SECONDS: f64 = 1.0;
-/// Soonest that a refused caller should come back.
+/// Minimum delay before a refused caller should retry.
 const MIN_WAIT: Duration = Duration::from_millis(50);
-/// An organisation that asks nothing for this long is forgotten.
-const FORGET_AFTER: Duration = Duration::from_secs(30);
-/// Weight of the newest interval in the rate that is reported.
-const GAIN: f32 = 0.5;
+/// Idle time after which an organisation is evicted.
+const ACCOUNT_TTL: Duration = Duration::from_secs(30);
+/// Weight of the newest interval in the moving average of the reported rate.
+const RATE_GAIN: f32 = 0.5;
 
 #[derive(Clone, Copy, Debug)]
 struct Account {
     bucket: Bucket,
     running: u32,
-    /// Most at a time since the last report, the refused ones among them.
+    /// Maximum concurrency since the last report, including refused requests.
     peak: u32,
-    asked: u32,
+    requests: u32,
     rate: f32,
-    asked_at: Time,
+    last_request: Time,
     reported: Option<Time>,
     grant: Option<(Grant, Time)>,
 }
 
-/// Admits the questions of organisations at one gateway.
+/// Admits the requests of organisations at one gateway.
 #[derive(Debug)]
 pub struct Limiter {
     nodes: u32,
@@ -40,7 +40,7 @@
 }
 
 impl Limiter {
-    /// A limiter that knows no bound yet, in a fleet of `nodes`.
+    /// Creates a limiter without bounds, in a fleet of `nodes`.
     pub fn new(nodes: u32) -> Self {
         Self {
             nodes: nodes.max(1),
@@ -49,12 +49,12 @@
         }
     }
 
-    /// The number of nodes changed.
+    /// Sets the number of nodes.
     pub fn nodes(&mut self, nodes: u32) {
         self.nodes = nodes.max(1);
     }
 
-    /// Takes the bounds of a new configuration.
+    /// Applies the bounds of a new configuration.
     pub fn update<B>(&mut self, bounds: B)
     where
         B: IntoIterator<Item = (Name, Bound)>,
@@ -62,15 +62,15 @@
         self.bounds = bounds.into_iter().collect();
     }
 
-    /// The bound of an organisation.
+    /// Returns the bound of an organisation.
     pub fn bound(&self, organisation: &str) -> Bound {
         self.bounds.get(organisation).copied().unwrap_or_default()
     }
 
-    /// Admits one question, which [`Limiter::release`] must end.
+    /// Admits a request; [`Limiter::release`] must be called when it ends.
     ///
     /// # Errors
-    /// [`Reason::Limited`] with when to come back; nothing has run.
+    /// [`Reason::Limited`] with the delay until a retry; nothing has run.
     pub fn admit(&mut self, now: Time, organisation: &Name) -> Result<(), Refusal> {
         let bound = self.bound(organisation);
         let nodes = self.nodes;
@@ -78,12 +78,15 @@
             .accounts
             .entry(Name::clone(organisation))
             .or_insert_with(|| Account::new(now));
-        account.asked += 1;
-        account.asked_at = now;
+        account.requests += 1;
+        account.last_request = now;
         account.peak = account.peak.max(account.running + 1);
         let share = account.share(now, bound, nodes);
         if bound.concurrency > 0 && account.running >= share.concurrency {
-            return Err(refusal("too many questions at a time", REPORT_INTERVAL));
+            return Err(refusal(
+                "too many concurrent requests of the organisation",
+                REPORT_INTERVAL,
+            ));
         }
         if bound.rate > 0 {
             account.take(now, share.rate)?;
@@ -92,19 +95,20 @@
         Ok(())
     }
 
-    /// A question that was admitted has ended.
+    /// Records that an admitted request has ended.
     pub fn release(&mut self, organisation: &str) {
         if let Some(account) = self.accounts.get_mut(organisation) {
             account.running = account.running.saturating_sub(1);
         }
     }
 
-    /// Reports that are due, to be sent to each organisation's owner. Only
-    /// bounded organisations are reported.
+    /// Returns the reports that are due, to be sent to each organisation's owner. Only
+    /// organisations with a bound are reported.
     pub fn reports(&mut self, now: Time) -> Vec<(Name, Demand)> {
         let bounds = &self.bounds;
-        self.accounts
-            .retain(|_, account| account.running > 0 || now.since(account.asked_at) < FORGET_AFTER);
+        self.accounts.retain(|_, account| {
+            account.running > 0 || now.since(account.last_request) < ACCOUNT_TTL
+        });
         let mut due = Vec::new();
         for (name, account) in &mut self.accounts {
             let bounded = bounds
@@ -117,14 +121,14 @@
         due
     }
 
-    /// The owner granted a share.
+    /// Applies a share granted by the owner.
     pub fn grant(&mut self, now: Time, organisation: &str, grant: Grant) {
         if let Some(account) = self.accounts.get_mut(organisation) {
             account.grant = Some((grant, now));
         }
     }
 
-    /// Questions that run here.
+    /// Returns the number of requests that run at this gateway.
     pub fn running(&self, organisation: &str) -> u32 {
         self.accounts.get(organisation).map_or(0, |a| a.running)
     }
@@ -136,16 +140,16 @@
             bucket: Bucket::new(now, 0.0, 1.0, 1.0),
             running: 0,
             peak: 0,
-            asked: 0,
+            requests: 0,
             rate: 0.0,
-            asked_at: now,
+            last_request: now,
             reported: None,
             grant: None,
         }
     }
 
-    /// The granted share, or an equal part while there is none: at least one
-    /// question, so that a first one need not wait for the owner.
+    /// Returns the granted share, or an equal part while there is none: at least one request,
+    /// so that the first one need not wait for the owner.
     fn share(&self, now: Time, bound: Bound, nodes: u32) -> Grant {
         match self.grant {
             Some((grant, at)) if now.since(at) < GRANT_TTL => grant,
@@ -162,9 +166,9 @@
         self.bucket.resize(now, rate, most);
         let taken = self.bucket.take(now);
         taken.map_err(|wait| {
-            // A share of nothing may grow with the next report.
+            // A share of zero may grow with the next report.
             let wait = if rate > 0.0 { wait } else { REPORT_INTERVAL };
-            refusal("too many questions a second", wait)
+            refusal("too many requests per second of the organisation", wait)
         })
     }
 
@@ -174,9 +178,9 @@
             Some(at) => now.since(at),
             None => REPORT_INTERVAL,
         };
-        let newest = self.asked as f32 / passed.as_secs_f32();
+        let newest = self.requests as f32 / passed.as_secs_f32();
         self.rate = match self.reported {
-            Some(_) => self.rate + GAIN * (newest - self.rate),
+            Some(_) => self.rate + RATE_GAIN * (newest - self.rate),
             None => newest,
         };
         let demand = Demand {
@@ -184,7 +188,7 @@
             concurrency: self.peak.max(self.running),
         };
         self.reported = Some(now);
-        self.asked = 0;
+        self.requests = 0;
         self.peak = self.running;
         Some(demand)
     }
--- a/src/limit/meter.rs
+++ b/src/limit/meter.rs
@@ -1,10 +1,10 @@
-//! What a gateway remembers of organisations' limits between requests.
+//! A gateway's local state of organisations' limits.
 //!
-//! It answers two loads. An organisation that floods is refused here, without a
-//! message, until its bucket has room. And while no keeper can be asked, a node
-//! lets a part of the limit through, less what keepers let through here. For most
-//! organisations that is less than a request a second: so a node's first request
-//! is let through by chance, and all nodes together stay near the limit.
+//! It serves two purposes. An organisation that floods is refused locally, without a message,
+//! until its bucket at the coordinator has a token. And while no coordinator can be reached, a
+//! node lets a part of the limit through, less what coordinators let through at this node. For
+//! most organisations that part is less than one request per second, so a node lets its first
+//! request through with a probability at which all nodes together stay near the limit.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,36 +16,37 @@
 use crate::clock::Time;
 use crate::name::Name;
 
-/// How long a keeper's word is passed on to the next one; after this a bucket
-/// of usual size has filled up.
-const HINT: Duration = Duration::from_secs(10);
-/// Longest time for which requests are refused without asking: a limit may be
-/// raised, and requests that did not run be given back.
-const MOST_DRY: Duration = Duration::from_millis(500);
-/// An organisation that was over its limit so lately is asked about before a
-/// place is looked for: what is refused must not take one, nor stop batch work.
-const SUSPICIOUS: Duration = Duration::from_secs(1);
-/// The part of a keeper's first requests that all nodes alone let through.
-const ALONE_SPARE: f64 = 0.5;
-/// An organisation that sends nothing is forgotten after this.
-const FORGET: Duration = Duration::from_secs(60);
+/// How long a coordinator's level is passed on to the next one; after this time a bucket of
+/// usual size is full again.
+const HINT_TTL: Duration = Duration::from_secs(10);
+/// Maximum time for which requests are refused without a query: the limit may be raised
+/// meanwhile, and tokens of requests that did not run may be refunded.
+const MAX_EXHAUSTED: Duration = Duration::from_millis(500);
+/// For an organisation that was over its limit within this time, the coordinator is queried
+/// before an endpoint is acquired: a request that is then refused must not occupy an endpoint,
+/// nor preempt batch work.
+const OVER_LIMIT_TTL: Duration = Duration::from_secs(1);
+/// Fraction of [`Tolerance::initial_excess`] that all isolated nodes let through together.
+const ISOLATED_EXCESS: f64 = 0.5;
+/// Idle time after which an organisation is evicted.
+const ACCOUNT_TTL: Duration = Duration::from_secs(60);
 
 #[derive(Clone, Copy, Debug)]
 struct Account {
     seen: Time,
-    /// Until when the keeper's bucket has no room.
-    dry_until: Time,
-    /// When it was last over its limit.
-    over: Option<Time>,
-    /// The keeper that was heard last, its tokens, and when.
-    heard: Option<(SocketAddr, f64, Time)>,
-    /// Requests that keepers let through since this node last decided alone.
+    /// Time until which the coordinator's bucket is empty.
+    exhausted_until: Time,
+    /// Time at which it was last over its limit.
+    over_limit_at: Option<Time>,
+    /// The coordinator of the last answer, its token level, and the time.
+    last_answer: Option<(SocketAddr, f64, Time)>,
+    /// Requests that coordinators let through since this node last decided by itself.
     passed: f64,
-    /// The bucket of this node alone.
-    alone: Option<Bucket>,
+    /// The bucket for decisions without a coordinator.
+    isolated: Option<Bucket>,
 }
 
-/// The organisations that send requests to this gateway.
+/// Local state of the organisations that send requests to this gateway.
 #[derive(Debug)]
 pub struct Meter {
     tolerance: Tolerance,
@@ -53,7 +54,7 @@
 }
 
 impl Meter {
-    /// Knows no organisation yet.
+    /// Creates a meter without organisations.
     pub fn new(tolerance: Tolerance) -> Self {
         Self {
             tolerance,
@@ -61,49 +62,52 @@
         }
     }
 
-    /// How long an organisation's bucket surely has no room.
+    /// Returns how long an organisation's bucket is still certainly empty.
     pub fn exhausted_for(&mut self, now: Time, organisation: &Name) -> Option<Duration> {
         let account = self.account(now, organisation);
-        (now < account.dry_until).then(|| account.dry_until.since(now))
+        (now < account.exhausted_until).then(|| account.exhausted_until.since(now))
     }
 
-    /// True when an organisation was over its limit a moment ago.
+    /// True when an organisation was over its limit recently.
     pub fn was_over_limit(&self, now: Time, organisation: &Name) -> bool {
-        let over = self.accounts.get(organisation).and_then(|it| it.over);
-        over.is_some_and(|at| now.since(at) < SUSPICIOUS)
+        let over = self
+            .accounts
+            .get(organisation)
+            .and_then(|it| it.over_limit_at);
+        over.is_some_and(|at| now.since(at) < OVER_LIMIT_TTL)
     }
 
-    /// What another keeper than `keeper` told last.
-    pub fn hint(&self, now: Time, organisation: &Name, keeper: SocketAddr) -> Option<Hint> {
-        let (from, tokens, at) = self.accounts.get(organisation)?.heard?;
+    /// Returns the last level, if a coordinator other than `coordinator` returned it.
+    pub fn hint(&self, now: Time, organisation: &Name, coordinator: SocketAddr) -> Option<Hint> {
+        let (from, tokens, at) = self.accounts.get(organisation)?.last_answer?;
         let age = now.since(at);
-        (from != keeper && age < HINT).then_some(Hint { tokens, age })
+        (from != coordinator && age < HINT_TTL).then_some(Hint { tokens, age })
     }
 
-    /// A keeper answered.
+    /// Records the answer of a coordinator.
     pub fn record_answer(
         &mut self,
         now: Time,
         organisation: &Name,
-        keeper: SocketAddr,
-        verdict: Answer,
+        coordinator: SocketAddr,
+        answer: Answer,
     ) {
         let account = self.account(now, organisation);
-        if matches!(verdict.decision, Decision::Allow | Decision::Deny(_)) {
-            account.heard = Some((keeper, verdict.tokens, now));
+        if matches!(answer.decision, Decision::Allow | Decision::Deny(_)) {
+            account.last_answer = Some((coordinator, answer.tokens, now));
         }
-        match verdict.decision {
+        match answer.decision {
             Decision::Deny(wait) => {
-                account.over = Some(now);
-                account.dry_until = now + wait.min(MOST_DRY);
+                account.over_limit_at = Some(now);
+                account.exhausted_until = now + wait.min(MAX_EXHAUSTED);
             }
             Decision::Allow => account.passed += 1.0,
             Decision::Unsettled | Decision::Isolated(_) => {}
         }
     }
 
-    /// Decides without a keeper, at one of `nodes`; `chance` lies between 0 and 1.
-    /// True when this node's part has room.
+    /// Decides without a coordinator, at one of `nodes` nodes; `chance` is between 0 and 1.
+    /// Returns true when the request is within this node's part.
     pub fn take_isolated(
         &mut self,
         now: Time,
@@ -113,15 +117,15 @@
         chance: f64,
     ) -> bool {
         let nodes = nodes.max(1) as f64;
-        let spare = self.tolerance.initial_excess(rate) * ALONE_SPARE;
+        let excess = self.tolerance.initial_excess(rate) * ISOLATED_EXCESS;
         let account = self.account(now, organisation);
         let (all, capacity) = (
             rate.per_second * ISOLATED_FRACTION / nodes,
             (rate.burst / nodes).max(1.0),
         );
-        let first = if chance < spare / nodes { 1.0 } else { 0.0 };
+        let first = if chance < excess / nodes { 1.0 } else { 0.0 };
         let fresh = || Bucket::new(now, all, capacity, first);
-        let bucket = account.alone.get_or_insert_with(fresh);
+        let bucket = account.isolated.get_or_insert_with(fresh);
         bucket.resize(now, all, capacity);
         let level = bucket.level(now);
         bucket.cap(now, (level - std::mem::take(&mut account.passed)).max(0.0));
@@ -131,18 +135,18 @@
     fn account(&mut self, now: Time, organisation: &Name) -> &mut Account {
         if !self.accounts.contains_key(organisation) {
             self.accounts
-                .retain(|_, account| now.since(account.seen) < FORGET);
+                .retain(|_, account| now.since(account.seen) < ACCOUNT_TTL);
         }
         let account = self
             .accounts
             .entry(organisation.clone())
             .or_insert(Account {
                 seen: now,
-                dry_until: Time::ZERO,
-                over: None,
-                heard: None,
+                exhausted_until: Time::ZERO,
+                over_limit_at: None,
+                last_answer: None,
                 passed: 0.0,
-                alone: None,
+                isolated: None,
             });
         account.seen = now;
         account
--- a/src/limit/owner.rs
+++ b/src/limit/owner.rs
@@ -1,4 +1,4 @@
-//! The side of the node that divides an organisation's limits.
+//! Owner side of the shared limits: divides an organisation's limits between gateways.
 
 use std::collections::HashMap;
 
@@ -20,12 +20,11 @@
 }
 
 impl Owner {
-    /// Takes the report of one gateway and answers with its share.
+    /// Applies the report of one gateway and returns its share.
     ///
-    /// The share follows the gateway's part of all demand but never takes what
-    /// others still hold. Without that, two gateways whose reports cross would
-    /// together be granted more than the limit, and nobody would notice but
-    /// the organisation's neighbours.
+    /// The share is proportional to the gateway's part of the total demand, but excludes what
+    /// other gateways still hold. Otherwise two gateways whose reports cross would together be
+    /// granted more than the limit, at the expense of other organisations and unnoticed.
     pub fn report(
         &mut self,
         now: Time,
@@ -56,17 +55,17 @@
         grant
     }
 
-    /// Organisations that have a share somewhere.
+    /// Returns the number of organisations with a share at some gateway.
     pub fn len(&self) -> usize {
         self.parts.len()
     }
 
-    /// True when nothing is divided.
+    /// True when no organisation has a share.
     pub fn is_empty(&self) -> bool {
         self.parts.is_empty()
     }
 
-    /// Forgets organisations that nobody asks for any more.
+    /// Evicts organisations whose shares have expired.
     pub fn sweep(&mut self, now: Time) {
         self.parts.retain(|_, parts| {
             parts.retain(|_, part| now.since(part.at) < GRANT_TTL);
--- a/tests/limit_explore.rs
+++ b/tests/limit_explore.rs
@@ -1,7 +1,7 @@
-//! Explores what all nodes together let through of an organisation, whatever
-//! happens to the nodes that count.
+//! Measures how many requests of an organisation all nodes together let through, under faults
+//! of the nodes that count them.
 //!
-//! `AUBURNSPOKE_SEEDS` sets how many schedules are played.
+//! `AUBURNSPOKE_SEEDS` sets the number of simulated schedules.
 
 #[path = "limit_explore/fleet.rs"]
 mod fleet;
@@ -9,16 +9,16 @@
 use std::time::Duration;
 
 use auburnspoke::limit::{Rate, Tolerance};
-use fleet::{Fleet, Harm, Way};
+use fleet::{Fault, Fleet, Way};
 use googletest::prelude::*;
 use rand::Rng as _;
 
-/// Schedules that are played when nothing else is said.
-const SEEDS: u64 = 120;
-/// Length of a schedule in milliseconds.
-const LENGTH: u64 = 14_000;
-/// Length of a day in milliseconds.
-const DAY: u64 = 34_000;
+/// Default number of schedules.
+const DEFAULT_SEEDS: u64 = 120;
+/// Length of a schedule.
+const LENGTH_MS: u64 = 14_000;
+/// Length of a simulated day.
+const DAY_MS: u64 = 34_000;
 const TOLERANCE: Tolerance = Tolerance {
     window: Duration::from_secs(5),
     excess: 0.1,
@@ -29,10 +29,10 @@
     std::env::var("AUBURNSPOKE_SEEDS")
         .ok()
         .and_then(|text| text.parse().ok())
-        .unwrap_or(SEEDS)
+        .unwrap_or(DEFAULT_SEEDS)
 }
 
-/// A limit of 1.6 times what the organisation usually sends.
+/// Returns a limit of 1.6 times the organisation's usual traffic.
 fn rate(usual: f64) -> Rate {
     Rate {
         per_second: usual * 1.6,
@@ -40,7 +40,7 @@
     }
 }
 
-/// Requests at a steady mean over all nodes, or over a few of them.
+/// Sends requests at a constant mean rate, spread over the first `nodes` nodes.
 fn traffic(fleet: &mut Fleet, per_second: f64, nodes: usize, from: u64, to: u64) {
     let mut at = from as f64;
     loop {
@@ -54,7 +54,7 @@
     }
 }
 
-/// What befalls the nodes, out of a seed: at most two of the kinds.
+/// Injects random faults of at most two kinds.
 fn faults(fleet: &mut Fleet, nodes: usize) {
     for _ in 0..fleet.random().random_range(0..3) {
         let from = fleet.random().random_range(2_000..8_000);
@@ -62,39 +62,39 @@
         match fleet.random().random_range(0..6) {
             0 => {
                 let owner = fleet.owner(0);
-                fleet.harm(owner, Harm::Killed, from, to);
+                fleet.inject(owner, Fault::Killed, from, to);
             }
             1 => {
                 for rank in 0..2 {
                     let owner = fleet.owner(rank);
-                    fleet.harm(owner, Harm::Frozen, from, to);
+                    fleet.inject(owner, Fault::Frozen, from, to);
                 }
             }
             2 => {
                 for node in 0..nodes {
                     if fleet.random().random_bool(0.17) {
-                        fleet.harm(node, Harm::Cut, from, to);
+                        fleet.inject(node, Fault::Cut, from, to);
                     }
                 }
             }
             3 => {
                 for node in 0..nodes {
                     if fleet.random().random_bool(0.55) {
-                        fleet.harm(node, Harm::Killed, from, from + 2_000);
+                        fleet.inject(node, Fault::Killed, from, from + 2_000);
                     }
                 }
             }
             4 => {
                 for node in 0..nodes {
-                    fleet.harm(node, Harm::Killed, from, from + 2_000);
+                    fleet.inject(node, Fault::Killed, from, from + 2_000);
                 }
             }
             _ => {
-                // The keeper is lost again and again.
+                // Successive coordinators are lost.
                 for rank in 0..3 {
                     let owner = fleet.owner(rank);
                     let at = from + rank as u64 * 700;
-                    fleet.harm(owner, Harm::Killed, at, at + 2_500);
+                    fleet.inject(owner, Fault::Killed, at, at + 2_500);
                 }
             }
         }
@@ -105,8 +105,8 @@
     let usual = [2.0, 8.0, 60.0][usize::try_from(seed % 3).unwrap()];
     let mut fleet = Fleet::new(way, seed, nodes, rate(usual), TOLERANCE);
     let times = [1.0, 7.5, 20.0][usize::try_from(seed / 3 % 3).unwrap()];
-    traffic(&mut fleet, usual, nodes, 0, LENGTH);
-    // The flood goes through one node, or through all.
+    traffic(&mut fleet, usual, nodes, 0, LENGTH_MS);
+    // The flood goes through a single node, or through all.
     let through = if (seed / 9).is_multiple_of(4) {
         1
     } else {
@@ -127,9 +127,9 @@
     (0..seeds).filter_map(over).collect()
 }
 
-/// Nodes that count are killed, frozen, cut off, lost one after the other or all
-/// at once, while an organisation sends up to twenty times its usual. Whatever
-/// lets through too much, other organisations pay for.
+/// Coordinators are killed, frozen, isolated, lost one after the other or all at once, while an
+/// organisation sends up to twenty times its usual traffic. Whatever is let through beyond the
+/// limit is at the expense of other organisations.
 #[gtest]
 fn explore_window_88_nodes() {
     expect_that!(broken(Way::Coordinator, 88, seeds()), is_empty());
@@ -140,76 +140,74 @@
     expect_that!(broken(Way::Coordinator, 300, seeds() / 3), is_empty());
 }
 
-/// Nothing happens, and the organisation sends its usual: it must never hear that
-/// it is over its limit.
+/// Without faults, an organisation with its usual traffic must never be refused.
 #[gtest]
 fn explore_usual_never_refused() {
     for seed in 0..seeds() / 3 {
         let usual = [2.0, 8.0, 60.0][usize::try_from(seed % 3).unwrap()];
         let mut fleet = Fleet::new(Way::Coordinator, seed, 88, rate(usual), TOLERANCE);
-        traffic(&mut fleet, usual, 88, 0, LENGTH);
+        traffic(&mut fleet, usual, 88, 0, LENGTH_MS);
         fleet.play();
-        expect_that!(fleet.wronged(), eq(0), "seed {seed}");
+        expect_that!(fleet.wrongly_refused(), eq(0), "seed {seed}");
     }
 }
 
-/// Half of all nodes are lost at once, keepers among them, and organisations send
-/// their usual. At most one in a thousand of a day's requests may be refused below
-/// the limit.
+/// Half of all nodes are lost at once, coordinators among them, while organisations send their
+/// usual traffic. At most one in a thousand requests of a day may be refused below the limit.
 #[gtest]
 fn explore_usual_half_lost() {
     let (mut sent, mut refused) = (0, 0);
     for seed in 0..seeds() / 3 {
         let usual = [2.0, 8.0, 60.0][usize::try_from(seed % 3).unwrap()];
         let mut fleet = Fleet::new(Way::Coordinator, seed, 88, rate(usual), TOLERANCE);
-        traffic(&mut fleet, usual, 88, 0, DAY);
+        traffic(&mut fleet, usual, 88, 0, DAY_MS);
         for node in 0..88 {
             if fleet.random().random_bool(0.5) {
-                fleet.harm(node, Harm::Killed, 5_000, 7_000);
+                fleet.inject(node, Fault::Killed, 5_000, 7_000);
             }
         }
         fleet.play();
         sent += fleet.ran.len() + fleet.refused.len();
-        refused += fleet.wronged();
+        refused += fleet.wrongly_refused();
     }
     expect_that!(refused * 1_000, le(sent));
 }
 
-/// Each protection taken away, the explorer finds a window that has too much.
+/// With any one protection removed, the simulation finds a window beyond the limit.
 #[gtest]
 fn explore_finds_removed_protection() {
-    for way in [Way::NoHint, Way::FullStart, Way::NoReach] {
+    for way in [Way::NoHint, Way::FullStart, Way::NoIsolation] {
         expect_that!(broken(way, 88, 360), not(is_empty()), "{way:?}");
     }
 }
 
-/// Of a hundred requests of organisations that send their usual, so many are refused
-/// below the limit, with nothing else happening.
-fn wronged_in_hundred(way: Way) -> f64 {
+/// Returns the percentage of requests that are refused below the limit, with the usual traffic
+/// and without faults.
+fn wrongly_refused_percent(way: Way) -> f64 {
     let (mut sent, mut wronged) = (0, 0);
     for seed in 0..30 {
         let usual = [2.0, 8.0, 60.0][usize::try_from(seed % 3).unwrap()];
         let mut fleet = Fleet::new(way, seed, 88, rate(usual), TOLERANCE);
-        traffic(&mut fleet, usual, 88, 0, LENGTH);
+        traffic(&mut fleet, usual, 88, 0, LENGTH_MS);
         fleet.play();
         sent += fleet.ran.len() + fleet.refused.len();
-        wronged += fleet.wronged();
+        wronged += fleet.wrongly_refused();
     }
     wronged as f64 * 100.0 / sent as f64
 }
 
-/// The ways that docs/design/limits.md compares, on the same schedules; run with
-/// `--nocapture` it prints them.
+/// Compares the alternatives of docs/design/limits.md on the same schedules, and prints the
+/// results with `--nocapture`.
 #[gtest]
 fn explore_ways_compared() {
     for way in [
         Way::Coordinator,
         Way::EqualPart,
         Way::NoHint,
-        Way::NoReach,
+        Way::NoIsolation,
         Way::FullStart,
     ] {
-        let wronged = wronged_in_hundred(way);
+        let wronged = wrongly_refused_percent(way);
         let broken = broken(way, 88, 360).len();
         println!(
             "{way:?}: {wronged:.2} in 100 refused below the limit, {broken} of 360 windows broken"
--- a/tests/limit_explore/fleet.rs
+++ b/tests/limit_explore/fleet.rs
@@ -1,5 +1,5 @@
-//! Gateways and keepers of one organisation's limit in virtual time, over a net
-//! that loses datagrams, with nodes that are killed, frozen, cut off and join.
+//! Simulation in virtual time of the gateways and coordinators of one organisation's limit, over
+//! a network that loses datagrams, with nodes that are killed, frozen, isolated and restarted.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -16,101 +16,101 @@
 use rand::{Rng as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
 
-/// One way between two nodes.
+/// One-way delay between two nodes.
 const DELAY: Duration = Duration::from_micros(500);
-/// A question without an answer is sent again.
-const ANSWER: Duration = Duration::from_millis(25);
-/// So often, before the next keeper is asked.
+/// Time after which an unanswered query is sent again.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(25);
+/// Attempts at the first coordinator.
 const TRIES: u32 = 3;
-/// The same at each further keeper, and how many are asked.
+/// Attempts at each further coordinator, and the number of coordinators that are queried.
 const FURTHER_TRIES: u32 = 2;
-const PASSED: u32 = 3;
-/// A silent keeper is asked so often whether it is there again.
-const PROBE: Duration = Duration::from_millis(250);
-/// After so long others know that a node is gone, or that it is back.
-const NOTICED: Duration = Duration::from_millis(2_500);
-const BACK: Duration = Duration::from_millis(400);
-/// How long ago a node that is well heard of the store.
-const VOUCHED: Duration = Duration::from_secs(1);
-/// Candidates for the keeper.
-const OWNERS: usize = 4;
-/// A node that is cut off lets keys through for so long.
-const KEYS: Duration = Duration::from_millis(4_500);
-
-/// What may happen to a node.
+const MAX_COORDINATORS: u32 = 3;
+/// Interval between probes of a silent coordinator.
+const PROBE_INTERVAL: Duration = Duration::from_millis(250);
+/// Time until the others detect that a node is lost, or that it is back.
+const DEATH_DETECTION: Duration = Duration::from_millis(2_500);
+const JOIN_DETECTION: Duration = Duration::from_millis(400);
+/// Age of the store's last answer at a healthy node.
+const STORE_AGE: Duration = Duration::from_secs(1);
+/// Candidates for the coordinator.
+const CANDIDATES: usize = 4;
+/// How long an isolated node accepts API keys.
+const KEY_GRACE: Duration = Duration::from_millis(4_500);
+
+/// Fault of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Harm {
-    /// It runs.
+pub enum Fault {
+    /// The node runs.
     None,
-    /// It is dead, and starts anew afterwards.
+    /// The node is down, and restarts afterwards.
     Killed,
-    /// It does nothing, and its clock stands still.
+    /// The node is suspended, and its clock stands still.
     Frozen,
-    /// Nothing between it and the others arrives; its callers reach it.
+    /// The node is isolated from the others, but reachable for its callers.
     Cut,
 }
 
-/// How requests are let through.
+/// Algorithm that limits requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Way {
-    /// Counted by a keeper, as the product does.
+    /// Requests are counted by a coordinator, as in the product.
     Coordinator,
-    /// The same without the level that gateways pass on to the next keeper.
+    /// The same without the level that gateways pass on to the next coordinator.
     NoHint,
-    /// The same without lowering the part of a node that is cut off.
-    NoReach,
-    /// The same with full buckets at keepers that have just started.
+    /// The same without the reduced part of an isolated node.
+    NoIsolation,
+    /// The same with full buckets at coordinators that have just started.
     FullStart,
-    /// An equal part a node.
+    /// Each node has an equal part.
     EqualPart,
 }
 
 struct Node {
-    keeper: Coordinator,
+    coordinator: Coordinator,
     meter: Meter,
-    reach: Isolation,
-    /// An equal part of the limit.
+    isolation: Isolation,
+    /// Equal part of the limit, for [`Way::EqualPart`].
     part: Bucket,
-    harm: Harm,
-    /// Since when it is as it is.
+    fault: Fault,
+    /// Time of the last change of `fault`.
     since: Time,
     silent: HashMap<usize, Time>,
     started: Time,
-    /// How long its clock has stood still.
+    /// Total time that its clock stood still.
     lag: Duration,
 }
 
 enum Event {
     /// A caller sends a request to a node.
     Send(usize),
-    /// A question arrives at a keeper.
+    /// A query arrives at a coordinator.
     Asked(usize, Pending),
-    /// A verdict arrives at the gateway.
+    /// An answer arrives at the gateway.
     Answered(u64, usize, Answer),
-    /// A question may be without an answer.
-    Look(u64),
-    /// A gateway asks a silent keeper whether it is there again.
+    /// The timeout of a query expires.
+    Timeout(u64),
+    /// A gateway probes a silent coordinator.
     Probe(usize, usize),
-    /// A node is harmed, or well again.
-    Harm(usize, Harm),
+    /// A fault of a node begins or ends.
+    Fault(usize, Fault),
 }
 
 #[derive(Clone)]
 struct Pending {
     gateway: usize,
     seq: u64,
-    question: Query,
+    query: Query,
 }
 
 struct Waiting {
     gateway: usize,
     sent: Time,
-    keeper: usize,
+    coordinator: usize,
     tries: u32,
     passed: u32,
 }
 
-/// A fleet.
+/// The simulation.
 pub struct Fleet {
     way: Way,
     rate: Rate,
@@ -122,7 +122,7 @@
     events: BTreeMap<(Time, u64), Event>,
     next: u64,
     waiting: HashMap<u64, Waiting>,
-    /// Requests that were let through: when sent, and when they ran.
+    /// Requests that were let through, with the times at which they were sent and ran.
     pub ran: Vec<(Time, Time)>,
     /// Requests that were refused.
     pub refused: Vec<Time>,
@@ -144,11 +144,11 @@
         let old = start - Duration::from_secs(60);
         let part = rate.per_second / nodes as f64;
         let node = |_| Node {
-            keeper: Coordinator::new(old, tolerance),
+            coordinator: Coordinator::new(old, tolerance),
             meter: Meter::new(tolerance),
-            reach: Isolation::default(),
+            isolation: Isolation::default(),
             part: Bucket::new(old, part, (rate.burst / nodes as f64).max(1.0), 1.0),
-            harm: Harm::None,
+            fault: Fault::None,
             since: old,
             silent: HashMap::new(),
             started: old,
@@ -156,8 +156,9 @@
         };
         let mut all: Vec<Node> = (0..nodes).map(node).collect();
         for node in &mut all {
-            node.keeper.set_node_count(old, nodes);
-            node.keeper.set_node_count(old + BACK * 10, nodes);
+            node.coordinator.set_node_count(old, nodes);
+            node.coordinator
+                .set_node_count(old + JOIN_DETECTION * 10, nodes);
         }
         Self {
             way,
@@ -175,7 +176,7 @@
         }
     }
 
-    /// The node that keeps the limit while all is well, or the `rank`th after it.
+    /// Returns the coordinator without faults, or the `rank`th candidate after it.
     pub fn owner(&self, rank: usize) -> usize {
         self.order[rank]
     }
@@ -189,79 +190,86 @@
         self.events.insert((at, self.next), event);
     }
 
-    /// Something happens to a node from `from` to `to`, in milliseconds.
-    pub fn harm(&mut self, node: usize, harm: Harm, from: u64, to: u64) {
+    /// Injects a fault of a node from `from` to `to`, in milliseconds.
+    pub fn inject(&mut self, node: usize, fault: Fault, from: u64, to: u64) {
         let start = self.now;
-        self.push(start + Duration::from_millis(from), Event::Harm(node, harm));
+        self.push(
+            start + Duration::from_millis(from),
+            Event::Fault(node, fault),
+        );
         self.push(
             start + Duration::from_millis(to),
-            Event::Harm(node, Harm::None),
+            Event::Fault(node, Fault::None),
         );
     }
 
-    /// A request is sent to a node.
+    /// Schedules a request to a node.
     pub fn send(&mut self, node: usize, millis: f64) {
         let at = self.now + Duration::from_secs_f64(millis / 1_000.0);
         self.push(at, Event::Send(node));
     }
 
-    /// Plays to the end.
+    /// Runs the simulation to its end.
     pub fn play(&mut self) {
         while let Some(((at, _), event)) = self.events.pop_first() {
             self.now = at;
             match event {
                 Event::Send(node) => self.sent(node),
-                Event::Asked(keeper, pending) => self.asked(keeper, &pending),
-                Event::Answered(seq, keeper, verdict) => self.answered(seq, keeper, verdict),
-                Event::Look(seq) => self.look(seq),
-                Event::Probe(gateway, keeper) => self.probe(gateway, keeper),
-                Event::Harm(node, harm) => self.harmed(node, harm),
+                Event::Asked(coordinator, pending) => self.asked(coordinator, &pending),
+                Event::Answered(seq, coordinator, answer) => {
+                    self.answered(seq, coordinator, answer)
+                }
+                Event::Timeout(seq) => self.expire(seq),
+                Event::Probe(gateway, coordinator) => self.probe(gateway, coordinator),
+                Event::Fault(node, fault) => self.apply_fault(node, fault),
             }
         }
     }
 
-    fn harmed(&mut self, at: usize, harm: Harm) {
+    fn apply_fault(&mut self, at: usize, fault: Fault) {
         let now = self.now;
         let node = &mut self.nodes[at];
-        if node.harm == Harm::Killed {
+        if node.fault == Fault::Killed {
             let started = if self.way == Way::FullStart {
                 now - Duration::from_secs(60)
             } else {
                 now
             };
-            node.keeper = Coordinator::new(started, self.tolerance);
+            node.coordinator = Coordinator::new(started, self.tolerance);
             node.meter = Meter::new(self.tolerance);
-            node.reach = Isolation::default();
+            node.isolation = Isolation::default();
             node.silent.clear();
             node.started = now;
         }
-        if node.harm == Harm::Frozen {
+        if node.fault == Fault::Frozen {
             node.lag += now.since(node.since);
         }
-        node.harm = harm;
+        node.fault = fault;
         node.since = now;
-        if harm == Harm::Killed {
+        if fault == Fault::Killed {
             self.waiting.retain(|_, waiting| waiting.gateway != at);
         }
     }
 
-    /// True when `at` takes `other` for usable.
+    /// True when the membership view of `at` has `other` as usable.
     fn sees(&self, at: usize, other: usize) -> bool {
         if at == other {
             return true;
         }
         let node = &self.nodes[at];
-        let for_long = self.now.since(node.since) > NOTICED;
-        if node.harm == Harm::Cut && for_long {
+        let for_long = self.now.since(node.since) > DEATH_DETECTION;
+        if node.fault == Fault::Cut && for_long {
             return false;
         }
-        if self.now.since(node.started) < BACK {
+        if self.now.since(node.started) < JOIN_DETECTION {
             return false;
         }
         let other = &self.nodes[other];
-        match other.harm {
-            Harm::None => true,
-            Harm::Killed | Harm::Frozen | Harm::Cut => self.now.since(other.since) < NOTICED,
+        match other.fault {
+            Fault::None => true,
+            Fault::Killed | Fault::Frozen | Fault::Cut => {
+                self.now.since(other.since) < DEATH_DETECTION
+            }
         }
     }
 
@@ -271,10 +279,10 @@
             .count()
     }
 
-    fn keeper_of(&self, at: usize) -> usize {
+    fn coordinator_of(&self, at: usize) -> usize {
         let silent = &self.nodes[at].silent;
         let mut seen = self.order.iter().filter(|other| self.sees(at, **other));
-        let candidates: Vec<usize> = seen.by_ref().take(OWNERS).copied().collect();
+        let candidates: Vec<usize> = seen.by_ref().take(CANDIDATES).copied().collect();
         let free = |other: &&usize| !silent.contains_key(*other);
         *candidates.iter().find(free).unwrap_or(&candidates[0])
     }
@@ -282,11 +290,11 @@
     fn sent(&mut self, at: usize) {
         let now = self.now;
         let node = &mut self.nodes[at];
-        match node.harm {
-            // Its callers go elsewhere, or come back.
-            Harm::Killed | Harm::Frozen => return,
-            Harm::Cut if now.since(node.since) > KEYS => return,
-            Harm::None | Harm::Cut => {}
+        match node.fault {
+            // Its callers use another node, or retry.
+            Fault::Killed | Fault::Frozen => return,
+            Fault::Cut if now.since(node.since) > KEY_GRACE => return,
+            Fault::None | Fault::Cut => {}
         }
         let name: Name = "a".into();
         if self.way == Way::EqualPart {
@@ -299,11 +307,11 @@
         }
         self.next += 1;
         let seq = self.next;
-        let keeper = self.keeper_of(at);
+        let coordinator = self.coordinator_of(at);
         let waiting = Waiting {
             gateway: at,
             sent: now,
-            keeper,
+            coordinator,
             tries: 1,
             passed: 0,
         };
@@ -312,18 +320,18 @@
     }
 
     fn ask(&mut self, seq: u64) {
-        let (gateway, keeper) = {
+        let (gateway, coordinator) = {
             let waiting = &self.waiting[&seq];
-            (waiting.gateway, waiting.keeper)
+            (waiting.gateway, waiting.coordinator)
         };
         let name: Name = "a".into();
         let hint = match self.way {
             Way::NoHint => None,
             _ => self.nodes[gateway]
                 .meter
-                .hint(self.now, &name, address(keeper)),
+                .hint(self.now, &name, address(coordinator)),
         };
-        let question = Query {
+        let query = Query {
             organisation: name,
             rate: self.rate,
             version: 1,
@@ -332,99 +340,103 @@
         let pending = Pending {
             gateway,
             seq,
-            question,
+            query,
         };
-        if self.arrives(gateway, keeper) {
-            self.push(self.now + DELAY, Event::Asked(keeper, pending));
+        if self.arrives(gateway, coordinator) {
+            self.push(self.now + DELAY, Event::Asked(coordinator, pending));
         }
-        self.push(self.now + ANSWER, Event::Look(seq));
+        self.push(self.now + QUERY_TIMEOUT, Event::Timeout(seq));
     }
 
-    fn probe(&mut self, gateway: usize, keeper: usize) {
-        if !self.nodes[gateway].silent.contains_key(&keeper) {
+    fn probe(&mut self, gateway: usize, coordinator: usize) {
+        if !self.nodes[gateway].silent.contains_key(&coordinator) {
             return;
         }
-        let settled = self.now.since(self.nodes[keeper].started) >= BACK;
-        if settled && self.arrives(gateway, keeper) && self.arrives(keeper, gateway) {
-            self.nodes[gateway].silent.remove(&keeper);
-        } else if self.sees(gateway, keeper) {
-            self.push(self.now + PROBE, Event::Probe(gateway, keeper));
+        let settled = self.now.since(self.nodes[coordinator].started) >= JOIN_DETECTION;
+        if settled && self.arrives(gateway, coordinator) && self.arrives(coordinator, gateway) {
+            self.nodes[gateway].silent.remove(&coordinator);
+        } else if self.sees(gateway, coordinator) {
+            self.push(
+                self.now + PROBE_INTERVAL,
+                Event::Probe(gateway, coordinator),
+            );
         } else {
-            self.nodes[gateway].silent.remove(&keeper);
+            self.nodes[gateway].silent.remove(&coordinator);
         }
     }
 
-    /// A datagram is lost now and then, and always at a node that is harmed.
+    /// Loses a few datagrams, and all from or to a faulty node.
     fn arrives(&mut self, from: usize, to: usize) -> bool {
         if from == to {
             return true;
         }
         let lost = self.rng.random_bool(0.002);
-        let through = |at: usize| self.nodes[at].harm == Harm::None;
+        let through = |at: usize| self.nodes[at].fault == Fault::None;
         !lost && through(from) && through(to)
     }
 
-    fn asked(&mut self, keeper: usize, pending: &Pending) {
+    fn asked(&mut self, coordinator: usize, pending: &Pending) {
         let now = self.now;
-        let usable = self.usable(keeper);
+        let usable = self.usable(coordinator);
         let nodes = self.nodes.len();
-        let node = &mut self.nodes[keeper];
-        if matches!(node.harm, Harm::Killed | Harm::Frozen) {
+        let node = &mut self.nodes[coordinator];
+        if matches!(node.fault, Fault::Killed | Fault::Frozen) {
             return;
         }
-        node.keeper.set_node_count(now - node.lag, usable);
-        if !node.keeper.is_settled() && keeper != pending.gateway {
+        node.coordinator.set_node_count(now - node.lag, usable);
+        if !node.coordinator.is_settled() && coordinator != pending.gateway {
             return;
         }
-        let heard = match node.harm {
-            Harm::Cut => now.since(node.since) + VOUCHED,
-            _ => VOUCHED,
+        let heard = match node.fault {
+            Fault::Cut => now.since(node.since) + STORE_AGE,
+            _ => STORE_AGE,
         };
-        let asked = match node.harm {
-            Harm::Cut => now.since(node.since),
+        let asked = match node.fault {
+            Fault::Cut => now.since(node.since),
             _ => Duration::ZERO,
         };
-        node.reach.set_node_count(node.since.max(now - KEYS), nodes);
-        if keeper == pending.gateway
-            && node.reach.is_isolated(Some(heard), asked)
-            && self.way != Way::NoReach
+        node.isolation
+            .set_node_count(node.since.max(now - KEY_GRACE), nodes);
+        if coordinator == pending.gateway
+            && node.isolation.is_isolated(Some(heard), asked)
+            && self.way != Way::NoIsolation
         {
-            return self.alone(pending.seq, nodes);
+            return self.decide_isolated(pending.seq, nodes);
         }
         let key = Key {
             gateway: address(pending.gateway),
             seq: pending.seq,
         };
-        let verdict = node.keeper.take(now - node.lag, key, &pending.question);
-        if self.arrives(keeper, pending.gateway) {
-            let answer = Event::Answered(pending.seq, keeper, verdict);
+        let answer = node.coordinator.take(now - node.lag, key, &pending.query);
+        if self.arrives(coordinator, pending.gateway) {
+            let answer = Event::Answered(pending.seq, coordinator, answer);
             self.push(now + DELAY, answer);
         }
     }
 
-    fn answered(&mut self, seq: u64, keeper: usize, verdict: Answer) {
+    fn answered(&mut self, seq: u64, coordinator: usize, answer: Answer) {
         let Some(waiting) = self.waiting.remove(&seq) else {
             return;
         };
         let name: Name = "a".into();
         let node = &mut self.nodes[waiting.gateway];
-        node.silent.remove(&keeper);
+        node.silent.remove(&coordinator);
         node.meter
-            .record_answer(self.now, &name, address(keeper), verdict);
-        match verdict.decision {
+            .record_answer(self.now, &name, address(coordinator), answer);
+        match answer.decision {
             Decision::Allow => self.decided(waiting.sent, true),
             Decision::Deny(_) => self.decided(waiting.sent, false),
-            // Its caller is sent on.
+            // The caller is redirected.
             Decision::Unsettled | Decision::Isolated(_) => {}
         }
     }
 
-    fn look(&mut self, seq: u64) {
+    fn expire(&mut self, seq: u64) {
         let Some(waiting) = self.waiting.get_mut(&seq) else {
             return;
         };
         let gateway = waiting.gateway;
-        if self.nodes[gateway].harm == Harm::Frozen {
+        if self.nodes[gateway].fault == Fault::Frozen {
             self.waiting.remove(&seq);
             return;
         }
@@ -436,16 +448,19 @@
         if waiting.tries >= tries {
             waiting.tries = 0;
             waiting.passed += 1;
-            let (keeper, passed) = (waiting.keeper, waiting.passed);
-            self.nodes[gateway].silent.insert(keeper, self.now);
-            self.push(self.now + PROBE, Event::Probe(gateway, keeper));
-            if passed >= PASSED {
+            let (coordinator, passed) = (waiting.coordinator, waiting.passed);
+            self.nodes[gateway].silent.insert(coordinator, self.now);
+            self.push(
+                self.now + PROBE_INTERVAL,
+                Event::Probe(gateway, coordinator),
+            );
+            if passed >= MAX_COORDINATORS {
                 let nodes = self.usable(gateway);
-                return self.alone(seq, nodes);
+                return self.decide_isolated(seq, nodes);
             }
-            let next = self.keeper_of(gateway);
+            let next = self.coordinator_of(gateway);
             if let Some(waiting) = self.waiting.get_mut(&seq) {
-                waiting.keeper = next;
+                waiting.coordinator = next;
             }
         }
         if let Some(waiting) = self.waiting.get_mut(&seq) {
@@ -454,7 +469,7 @@
         self.ask(seq);
     }
 
-    fn alone(&mut self, seq: u64, nodes: usize) {
+    fn decide_isolated(&mut self, seq: u64, nodes: usize) {
         let Some(waiting) = self.waiting.remove(&seq) else {
             return;
         };
@@ -475,7 +490,7 @@
         }
     }
 
-    /// The largest number of requests that were both sent and run in one window.
+    /// Returns the largest number of requests that were both sent and run within one window.
     pub fn most_in_window(&self) -> usize {
         let window = self.tolerance.window;
         let count = |from: &(Time, Time)| {
@@ -486,18 +501,18 @@
         self.ran.iter().map(count).max().unwrap_or(0)
     }
 
-    /// Requests that were refused though the limit, kept to the request, had room.
-    pub fn wronged(&self) -> usize {
+    /// Returns the number of requests that were refused below the exact limit.
+    pub fn wrongly_refused(&self) -> usize {
         let Rate { per_second, burst } = self.rate;
         let mut all: Vec<(Time, bool)> = self.ran.iter().map(|(sent, _)| (*sent, true)).collect();
         all.extend(self.refused.iter().map(|sent| (*sent, false)));
         all.sort_unstable();
         let mut bucket = Bucket::new(all[0].0, per_second, burst, burst);
-        let wronged = |(sent, passed): &&(Time, bool)| bucket.take(*sent).is_ok() && !passed;
-        all.iter().filter(wronged).count()
+        let refused_below = |(sent, passed): &&(Time, bool)| bucket.take(*sent).is_ok() && !passed;
+        all.iter().filter(refused_below).count()
     }
 
-    /// What a window may have.
+    /// Returns the number of requests that a window may have.
     pub fn bound(&self) -> f64 {
         let Tolerance {
             window,
--- a/tests/limit_keeper.rs
+++ b/tests/limit_keeper.rs
@@ -1,4 +1,4 @@
-//! Counting an organisation's requests at one node, and at the gateways.
+//! Counting of an organisation's requests at its coordinator and at the gateways.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -39,7 +39,7 @@
     "a".into()
 }
 
-fn question(hint: Option<Hint>) -> Query {
+fn query(hint: Option<Hint>) -> Query {
     Query {
         organisation: organisation(),
         rate: RATE,
@@ -48,114 +48,129 @@
     }
 }
 
-/// A keeper that has run for longer than requests are counted.
-fn keeper(tolerance: Tolerance) -> Coordinator {
+/// Returns a coordinator that has run for longer than a window.
+fn coordinator(tolerance: Tolerance) -> Coordinator {
     let before = at(0) - Duration::from_secs(60);
-    let mut keeper = Coordinator::new(before, tolerance);
-    keeper.set_node_count(before, 88);
-    keeper.set_node_count(before + Duration::from_secs(2), 88);
-    keeper
+    let mut coordinator = Coordinator::new(before, tolerance);
+    coordinator.set_node_count(before, 88);
+    coordinator.set_node_count(before + Duration::from_secs(2), 88);
+    coordinator
 }
 
-/// Asks so often at one time; how many are let through.
-fn flood(keeper: &mut Coordinator, now: Time, from: u64, count: u64, hint: Option<Hint>) -> usize {
-    let passes =
-        |seq: &u64| keeper.take(now, key(*seq), &question(hint)).decision == Decision::Allow;
-    (from..from + count).filter(passes).count()
+/// Sends `count` queries at the same time and returns how many are allowed.
+fn count_allowed(
+    coordinator: &mut Coordinator,
+    now: Time,
+    from: u64,
+    count: u64,
+    hint: Option<Hint>,
+) -> usize {
+    let is_allowed =
+        |seq: &u64| coordinator.take(now, key(*seq), &query(hint)).decision == Decision::Allow;
+    (from..from + count).filter(is_allowed).count()
 }
 
 #[gtest]
 fn take_exact() {
-    let mut keeper = keeper(Tolerance::default());
-    expect_that!(flood(&mut keeper, at(0), 0, 50, None), eq(10));
-    expect_that!(flood(&mut keeper, at(1_000), 100, 50, None), eq(10));
+    let mut coordinator = coordinator(Tolerance::default());
+    expect_that!(count_allowed(&mut coordinator, at(0), 0, 50, None), eq(10));
+    expect_that!(
+        count_allowed(&mut coordinator, at(1_000), 100, 50, None),
+        eq(10)
+    );
 }
 
-/// A datagram is lost, and the gateway asks again. Counted twice, an organisation
-/// would be refused below its limit.
+/// A datagram is lost and the gateway repeats the query. If it were counted twice, the
+/// organisation would be refused below its limit.
 #[gtest]
 fn take_repeated() {
-    let mut keeper = keeper(Tolerance::default());
+    let mut coordinator = coordinator(Tolerance::default());
     for again in 0..5 {
-        let verdict = keeper.take(at(again * 20), key(1), &question(None));
-        expect_that!(verdict.decision, eq(Decision::Allow));
+        let answer = coordinator.take(at(again * 20), key(1), &query(None));
+        expect_that!(answer.decision, eq(Decision::Allow));
     }
-    expect_that!(flood(&mut keeper, at(80), 100, 50, None), eq(9));
+    expect_that!(
+        count_allowed(&mut coordinator, at(80), 100, 50, None),
+        eq(9)
+    );
 }
 
-/// A request is counted and finds no place. Told to come back, its caller would be
-/// over the limit by a request that never ran.
+/// A request is counted but gets no endpoint. Without a refund its caller's retry would be over
+/// the limit because of a request that never ran.
 #[gtest]
-fn put_back_unrun() {
-    let mut keeper = keeper(Tolerance::default());
-    flood(&mut keeper, at(0), 0, 50, None);
-    keeper.refund(at(0), key(3), &organisation());
-    // Given back twice, or never counted: it frees nothing more.
-    keeper.refund(at(0), key(3), &organisation());
-    keeper.refund(at(0), key(49), &organisation());
-    expect_that!(flood(&mut keeper, at(0), 100, 50, None), eq(1));
+fn refund_not_run() {
+    let mut coordinator = coordinator(Tolerance::default());
+    count_allowed(&mut coordinator, at(0), 0, 50, None);
+    coordinator.refund(at(0), key(3), &organisation());
+    // A second refund, and one of a request that was never counted, have no effect.
+    coordinator.refund(at(0), key(3), &organisation());
+    coordinator.refund(at(0), key(49), &organisation());
+    expect_that!(count_allowed(&mut coordinator, at(0), 100, 50, None), eq(1));
 }
 
-/// Whoever is over the limit is told when there is room, and finds it then.
+/// A request over the limit is allowed after exactly the wait that the answer names.
 #[gtest]
-fn take_wait_true() {
-    let mut keeper = keeper(Tolerance::default());
-    flood(&mut keeper, at(0), 0, 10, None);
+fn take_after_wait() {
+    let mut coordinator = coordinator(Tolerance::default());
+    count_allowed(&mut coordinator, at(0), 0, 10, None);
     let wait = Duration::from_millis(100);
-    let before = keeper.take(at(0), key(99), &question(None));
+    let before = coordinator.take(at(0), key(99), &query(None));
     expect_that!(before.decision, eq(Decision::Deny(wait)));
-    let after = keeper.take(at(0) + wait, key(99), &question(None));
+    let after = coordinator.take(at(0) + wait, key(99), &query(None));
     expect_that!(after.decision, eq(Decision::Allow));
 }
 
-/// The keeper's node is lost while an organisation floods. With a full bucket at
-/// the next one it would have its burst again, as often as nodes are lost.
+/// The coordinator is lost while an organisation floods. If the next one started with a full
+/// bucket, the organisation would get another burst for each lost node.
 #[gtest]
 fn take_hint_of_another() {
-    let mut next = keeper(Tolerance::default());
+    let mut next = coordinator(Tolerance::default());
     let age = Duration::from_millis(200);
     let hint = Hint { tokens: 0.0, age };
-    expect_that!(flood(&mut next, at(0), 0, 50, Some(hint)), eq(2));
+    expect_that!(count_allowed(&mut next, at(0), 0, 50, Some(hint)), eq(2));
 }
 
-/// All nodes restart at once, and none knows what was let through before.
+/// All nodes restart at once, and none has a history of what was let through before.
 #[gtest]
 fn take_just_started() {
-    let mut young = Coordinator::new(at(0), Tolerance::default());
-    young.set_node_count(at(5), 88);
-    young.set_node_count(at(200), 88);
-    expect_that!(flood(&mut young, at(200), 0, 50, None), eq(1));
+    let mut starting = Coordinator::new(at(0), Tolerance::default());
+    starting.set_node_count(at(5), 88);
+    starting.set_node_count(at(200), 88);
+    expect_that!(count_allowed(&mut starting, at(200), 0, 50, None), eq(1));
 }
 
-/// All nodes restart, and each finds the others one by one. One that sees a few of
-/// them only must not count for all.
+/// All nodes restart, and each finds the others one by one. A node that has found only a few
+/// of them must not act as coordinator for all.
 #[gtest]
-fn see_members_coming() {
-    let mut young = Coordinator::new(at(0), Tolerance::default());
+fn set_node_count_joining() {
+    let mut starting = Coordinator::new(at(0), Tolerance::default());
     for (millis, nodes) in [(0, 1), (100, 3), (200, 20), (300, 87)] {
-        young.set_node_count(at(millis), nodes);
-        expect_that!(young.is_settled(), eq(false));
+        starting.set_node_count(at(millis), nodes);
+        expect_that!(starting.is_settled(), eq(false));
     }
-    young.set_node_count(at(450), 87);
-    expect_that!(young.is_settled(), eq(true));
+    starting.set_node_count(at(450), 87);
+    expect_that!(starting.is_settled(), eq(true));
 }
 
-/// Operators lower a limit far below what is sent. A gateway that has not heard of
-/// it yet still asks with the old one.
+/// Operators lower a limit far below the traffic. A gateway that has not received the new
+/// configuration yet still sends the old limit.
 #[gtest]
 fn take_lowered() {
-    let mut keeper = keeper(Tolerance::default());
-    flood(&mut keeper, at(0), 0, 50, None);
+    let mut coordinator = coordinator(Tolerance::default());
+    count_allowed(&mut coordinator, at(0), 0, 50, None);
     let lower = Query {
         rate: Rate {
             per_second: 1.0,
             burst: 1.0,
         },
         version: 2,
-        ..question(None)
+        ..query(None)
     };
-    keeper.take(at(0), key(60), &lower);
-    expect_that!(flood(&mut keeper, at(3_000), 100, 50, None), eq(1));
+    coordinator.take(at(0), key(60), &lower);
+    expect_that!(
+        count_allowed(&mut coordinator, at(3_000), 100, 50, None),
+        eq(1)
+    );
 }
 
 fn over(wait_ms: u64) -> Answer {
@@ -165,10 +180,10 @@
     }
 }
 
-/// An organisation sends twenty times its usual. Each request that were asked
-/// about, or that took a place before it is refused, would cost the others.
+/// An organisation sends twenty times its usual traffic. Each query for a request that is then
+/// refused, and each endpoint that such a request occupies, costs the other organisations.
 #[gtest]
-fn dry_refused_here() {
+fn exhausted_for_flood() {
     let mut meter = Meter::new(TOLERANCE);
     let name = organisation();
     expect_that!(meter.exhausted_for(at(0), &name), none());
@@ -183,11 +198,11 @@
     expect_that!(meter.was_over_limit(at(1_100), &name), eq(false));
 }
 
-/// A bucket fills hardly or not at all, such as that of a keeper that has just
-/// started. Refused here for as long as that would take, an organisation would get
-/// nothing for a minute, whatever happens to its limit.
+/// A bucket that refills very slowly, such as that of a coordinator that has just started,
+/// yields a long wait. If the gateway refused for all of it, an organisation would be refused
+/// for a minute, even after its limit is raised.
 #[gtest]
-fn dry_not_for_long() {
+fn exhausted_for_bounded() {
     let mut meter = Meter::new(TOLERANCE);
     meter.record_answer(at(0), &organisation(), gateway(1), over(60_000));
     expect_that!(meter.exhausted_for(at(600), &organisation()), none());
@@ -204,10 +219,10 @@
     expect_that!(meter.hint(at(11_000), &name, gateway(2)), none());
 }
 
-/// No keeper answers any of 88 nodes. What they let through together must stay
-/// below the limit, and a first request must not be refused everywhere.
+/// No coordinator answers any of 88 nodes. Together they must stay below the limit, and a
+/// first request must not be refused everywhere.
 #[gtest]
-fn alone_all_nodes() {
+fn take_isolated_all_nodes() {
     let name = organisation();
     let mut passed = 0;
     for node in 0..88 {
@@ -223,25 +238,25 @@
     expect_that!(passed, ge(1));
 }
 
-/// A node is cut off from all others. As the keeper of a limit it would let all of
-/// it through, beside what the others do.
+/// A node is isolated from all others. As the coordinator of a limit it would let the whole
+/// limit through, in addition to what the others let through.
 #[gtest]
-fn is_cut_off() {
-    let mut reach = Isolation::default();
+fn is_isolated_cut_off() {
+    let mut isolation = Isolation::default();
     let fresh = Some(Duration::from_millis(500));
     let old = Some(Duration::from_secs(3));
     let lately = Duration::from_millis(100);
     let long = Duration::from_secs(1);
-    reach.set_node_count(at(0), 88);
-    // Before and after the others are taken for lost.
-    expect_that!(reach.is_isolated(old, long), eq(true));
-    reach.set_node_count(at(3_000), 1);
-    expect_that!(reach.is_isolated(old, long), eq(true));
-    expect_that!(reach.nodes(), eq(88));
-    // The others are lost indeed: the store still answers.
-    expect_that!(reach.is_isolated(fresh, long), eq(false));
-    // The store is away for all, and they still ask this node.
-    expect_that!(reach.is_isolated(old, lately), eq(false));
-    reach.set_node_count(at(20_000), 1);
-    expect_that!(reach.is_isolated(old, long), eq(false));
+    isolation.set_node_count(at(0), 88);
+    // Before and after the membership declares the others dead.
+    expect_that!(isolation.is_isolated(old, long), eq(true));
+    isolation.set_node_count(at(3_000), 1);
+    expect_that!(isolation.is_isolated(old, long), eq(true));
+    expect_that!(isolation.nodes(), eq(88));
+    // The others are really lost: the store still answers.
+    expect_that!(isolation.is_isolated(fresh, long), eq(false));
+    // The store is unavailable to all, and other nodes still query this one.
+    expect_that!(isolation.is_isolated(old, lately), eq(false));
+    isolation.set_node_count(at(20_000), 1);
+    expect_that!(isolation.is_isolated(old, long), eq(false));
 }
--- a/tests/limit_shares.rs
+++ b/tests/limit_shares.rs
@@ -11,9 +11,9 @@
 
 const NODES: u32 = 6;
 
-/// Nodes of which each is asked `rates[node]` times a second for `seconds`;
-/// returns what was admitted in each second.
-fn drive(bound: Bound, rates: &[u64], seconds: u64, owner_lives: bool) -> Vec<u32> {
+/// Sends `rates[node]` requests per second to each node for `seconds`, and returns the number
+/// admitted in each second.
+fn drive(bound: Bound, rates: &[u64], seconds: u64, owner_alive: bool) -> Vec<u32> {
     let organisation: Name = "sohar".into();
     let mut owner = Owner::default();
     let mut limiters: Vec<Limiter> = rates.iter().map(|_| Limiter::new(NODES)).collect();
@@ -31,7 +31,7 @@
             }
             let name: Name = format!("n{node}").into();
             for (organisation, demand) in limiter.reports(now) {
-                if owner_lives {
+                if owner_alive {
                     let grant = owner.report(now, &name, &organisation, bound, demand);
                     limiter.grant(now, &organisation, grant);
                 }
@@ -43,8 +43,8 @@
 
 #[gtest]
 fn rate_follows_demand() {
-    // All of an organisation's callers sit at one node. With equal parts they
-    // would get a sixth of the rate that the organisation has.
+    // All of an organisation's callers use the same node. With equal parts they would get a
+    // sixth of the organisation's rate.
     let bound = Bound {
         rate: 60,
         concurrency: 0,
@@ -55,7 +55,7 @@
 
 #[gtest]
 fn rate_never_above() {
-    // Every node is asked for more than the whole limit.
+    // Every node receives more than the whole limit.
     let bound = Bound {
         rate: 60,
         concurrency: 0,
@@ -69,8 +69,8 @@
 
 #[gtest]
 fn rate_owner_gone() {
-    // The organisation's owner can't be reached. Gateways go on with equal
-    // parts: less than the limit where demand is uneven, never more.
+    // The organisation's owner can't be reached. Gateways fall back on equal parts: less than
+    // the limit where demand is uneven, never more.
     let bound = Bound {
         rate: 60,
         concurrency: 0,
@@ -81,8 +81,8 @@
 
 #[gtest]
 fn grant_crossing_reports() {
-    // Two gateways' demands change places and their reports cross. Their shares
-    // must never add up to more than the limit.
+    // The demand moves between two gateways and their reports cross. Their shares must never
+    // add up to more than the limit.
     let bound = Bound {
         rate: 0,
         concurrency: 10,
@@ -126,23 +126,26 @@
 }
 
 #[gtest]
-fn gate_sheds_batch_first() {
+fn admission_batch_first() {
     let organisation: Name = "trust".into();
-    let mut gate = Admission::new(10);
+    let mut admission = Admission::new(10);
     for _ in 0..7 {
-        expect_that!(gate.admit(Class::Batch, &organisation), ok(()));
+        expect_that!(admission.admit(Class::Batch, &organisation), ok(()));
     }
-    expect_that!(gate.admit(Class::Batch, &organisation), err(anything()));
-    expect_that!(gate.admit(Class::Online, &organisation), ok(()));
+    expect_that!(
+        admission.admit(Class::Batch, &organisation),
+        err(anything())
+    );
+    expect_that!(admission.admit(Class::Online, &organisation), ok(()));
 }
 
 #[gtest]
-fn gate_fair_when_full() {
-    // One organisation fills a gateway; a clerk of another one still gets in.
+fn admission_fair_when_full() {
+    // One organisation fills a gateway; a request of another one is still admitted.
     let (noisy, quiet): (Name, Name) = ("noisy".into(), "quiet".into());
-    let mut gate = Admission::new(10);
-    let entered = (0..20).filter(|_| gate.admit(Class::Online, &noisy).is_ok());
-    expect_that!(entered.count(), eq(8));
-    expect_that!(gate.admit(Class::Online, &quiet), ok(()));
-    expect_that!(gate.admit(Class::Online, &noisy), err(anything()));
+    let mut admission = Admission::new(10);
+    let admitted = (0..20).filter(|_| admission.admit(Class::Online, &noisy).is_ok());
+    expect_that!(admitted.count(), eq(8));
+    expect_that!(admission.admit(Class::Online, &quiet), ok(()));
+    expect_that!(admission.admit(Class::Online, &noisy), err(anything()));
 }
