--- a/src/attempt.rs
+++ b/src/attempt.rs
@@ -1,45 +1,43 @@
-//! One request of a caller on its way through endpoints, as a decision.
+//! State machine of one caller's request across endpoints. Performs no I/O.
 //!
-//! It knows what of the request may already have run, and so which answers are
-//! still true: "not run" only while no endpoint can have begun, another run
-//! only where the request may be repeated and the runs are not used up. The
-//! shell that acts on it is `edge::relay`; docs/design/attempt.md draws the
+//! It tracks how much of the request may already have run, which determines the valid answers:
+//! "not run" only while no endpoint can have started it, and another run only where the request
+//! may be repeated and runs are left. `edge::relay` acts on it; docs/design/attempt.md shows the
 //! states.
 
 use std::time::Duration;
 
 use crate::clock::Time;
 
-/// Times that endpoints may say that they did not run a request before it is
-/// refused; each costs a few milliseconds.
-const NOT_RUN_TRIES: u32 = 6;
-/// With less time left than this, no further endpoint is tried: the first
-/// event alone takes some 30 ms.
-const LEAST_LEFT: Duration = Duration::from_millis(40);
+/// Number of endpoints that may report a request as not run before it is refused; each attempt
+/// costs a few milliseconds.
+const MAX_NOT_RUN: u32 = 6;
+/// Minimum remaining time for another endpoint: the first event alone takes about 30 ms.
+const MIN_TIME_LEFT: Duration = Duration::from_millis(40);
 
-/// What may be repeated.
+/// Which part of a request may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
     /// Nothing: at most one run.
     Never,
     /// The whole request.
     Whole,
-    /// The rest of a stream behind the last event that came.
+    /// The rest of a stream, after the last event received.
     Resume,
 }
 
 /// How an endpoint failed a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// It surely did not run it.
+    /// The endpoint certainly did not run it.
     NotRun,
-    /// It may have run it, wholly or in part.
+    /// The endpoint may have run it, completely or in part.
     Lost,
-    /// It ran it and answered with an error of its own.
+    /// The endpoint ran it and answered with an error of its own.
     Answered,
 }
 
-/// What to do after a failure.
+/// Action after a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
     /// Try another endpoint.
@@ -48,56 +46,56 @@
     Refuse,
     /// Answer that it may have run.
     Fail,
-    /// Pass on the endpoint's own error.
+    /// Forward the endpoint's own error.
     Pass,
-    /// Break off the answer that has begun, so that it can't look complete.
+    /// Abort the answer that has begun, so that it does not look complete.
     Break,
 }
 
-/// A request on its way.
+/// A request that is being attempted.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     repeat: Repeat,
-    /// Most endpoints that it may run at.
-    most: u32,
+    /// Maximum number of endpoints that it may run at.
+    max_runs: u32,
     /// Endpoints at which it may have run.
     runs: u32,
     /// Endpoints that did not run it.
     not_run: u32,
     /// True once the caller has the head of an answer.
     begun: bool,
-    /// The last event that the caller has.
-    last: Option<u64>,
-    /// False while the caller has something behind which no run can go on.
-    placed: bool,
-    /// When the caller's or the operator's time is up.
+    /// Number of the last event that the caller has.
+    last_event: Option<u64>,
+    /// False when the caller has data after which no run can resume.
+    resumable: bool,
+    /// The caller's or the operator's deadline.
     deadline: Time,
 }
 
 impl Attempt {
-    /// A request that may run at `most` endpoints until `deadline`; `last` is
-    /// the event behind which the caller wants to go on.
-    pub fn new(repeat: Repeat, most: u32, deadline: Time, last: Option<u64>) -> Self {
+    /// Creates the state of a request that may run at `max_runs` endpoints until `deadline`. The
+    /// caller wants to resume after the event `last_event`.
+    pub fn new(repeat: Repeat, max_runs: u32, deadline: Time, last_event: Option<u64>) -> Self {
         Self {
             repeat,
-            most,
+            max_runs,
             runs: 0,
             not_run: 0,
             begun: false,
-            last,
-            placed: true,
+            last_event,
+            resumable: true,
             deadline,
         }
     }
 
-    /// When the caller's time is up.
+    /// Returns the caller's deadline.
     pub fn deadline(&self) -> Time {
         self.deadline
     }
 
-    /// Where the next endpoint goes on.
+    /// Returns the event after which the next endpoint resumes.
     pub fn last(&self) -> Option<u64> {
-        self.last
+        self.last_event
     }
 
     /// True once the caller has the head of an answer.
@@ -105,56 +103,56 @@
         self.begun
     }
 
-    /// True while no endpoint can have run it.
+    /// True while no endpoint can have run the request.
     pub fn is_not_run(&self) -> bool {
         self.runs == 0
     }
 
-    /// True when a silent endpoint may be given up for another one.
+    /// True when a silent endpoint may be abandoned for another one.
     pub fn can_fail_over(&self) -> bool {
         let possible = match self.repeat {
             Repeat::Never => false,
             Repeat::Whole => !self.begun,
-            Repeat::Resume => self.placed,
+            Repeat::Resume => self.resumable,
         };
-        possible && self.runs < self.most
+        possible && self.runs < self.max_runs
     }
 
-    /// An endpoint is about to get the request.
+    /// Records that the request is about to be sent to an endpoint.
     pub fn start_run(&mut self) {
         self.runs += 1;
     }
 
-    /// The caller gets the head of an answer.
+    /// Records that the caller gets the head of an answer.
     pub fn start_answer(&mut self) {
         self.begun = true;
     }
 
-    /// The caller gets more, up to the event `last`. What carries no number
-    /// can't be gone on behind: the next run would repeat or skip it.
-    pub fn forwarded(&mut self, last: Option<u64>) {
-        self.placed = last.is_some();
-        self.last = last.or(self.last);
+    /// Records that the caller gets more data, up to the event `last_event`. Data without an
+    /// event number can't be resumed after: the next run would repeat or skip it.
+    pub fn forwarded(&mut self, last_event: Option<u64>) {
+        self.resumable = last_event.is_some();
+        self.last_event = last_event.or(self.last_event);
     }
 
-    /// The endpoint that got the request failed it.
+    /// Records a failure of the endpoint that has the request, and returns the next action.
     pub fn failed(&mut self, now: Time, failure: Failure) -> Next {
         if failure == Failure::NotRun {
             self.runs -= 1;
             self.not_run += 1;
         }
-        let time = self.deadline.since(now) > LEAST_LEFT;
+        let has_time = self.deadline.since(now) > MIN_TIME_LEFT;
         let again = match failure {
-            Failure::NotRun => self.not_run < NOT_RUN_TRIES,
+            Failure::NotRun => self.not_run < MAX_NOT_RUN,
             Failure::Lost | Failure::Answered => self.can_fail_over(),
         };
-        if again && time {
+        if again && has_time {
             return Next::Again;
         }
         self.give_up(failure == Failure::Answered)
     }
 
-    /// No endpoint can be found, or the time is up.
+    /// Returns the final action when there is no endpoint, or the deadline has passed.
     pub fn give_up(&self, has_answer: bool) -> Next {
         match (self.begun, has_answer, self.runs) {
             (true, _, _) => Next::Break,
--- a/src/outcome.rs
+++ b/src/outcome.rs
@@ -1,9 +1,8 @@
-//! What became of a request: done, surely not run, or in doubt.
+//! Outcome of a request: done, certainly not run, or unknown.
 //!
-//! The three are kept apart because the brief promises that "not run" is never
-//! said of a request that ran, and because a retry is legal after `NotRun` for
-//! every request but after `MayHaveRun` only for repeatable ones. See
-//! docs/design/outcomes.md.
+//! The three are distinguished because a request that ran must never be reported as "not run",
+//! and because a retry is legal after `NotRun` for every request, but after `MayHaveRun` only
+//! for repeatable ones. See docs/design/outcomes.md.
 
 use std::fmt;
 use std::time::Duration;
@@ -15,69 +14,68 @@
 /// The result of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome<T> {
-    /// It ran to its end.
+    /// The request completed.
     Done(T),
-    /// No byte of it has reached an endpoint, and none will.
+    /// No byte of the request has reached an endpoint, and none will.
     NotRun(Refusal),
-    /// It may have run, wholly or in part.
+    /// The request may have run, completely or in part.
     MayHaveRun(Refusal),
 }
 
-/// Why a request was not done, and when to come back.
+/// Reason why a request was not completed, and when to retry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// The cause, which has a counter of its own.
+    /// The cause; each has its own counter.
     pub reason: Reason,
-    /// When the caller should come back; none when it would not help.
+    /// Delay after which the caller should retry; none when a retry would not help.
     pub retry_after: Option<Duration>,
-    /// For people: what went wrong and what to do next. Empty takes
-    /// [`Reason::advice`].
+    /// Error message for people: what went wrong and what to do next. [`Reason::advice`] is used
+    /// when it is empty.
     pub message: String,
-    /// The endpoint's process that ended while it ran the request.
+    /// The endpoint process that ended while running the request.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub crash: Option<Crash>,
 }
 
-/// The causes of refusals and retries. Each has a label in the metrics and a
-/// number in the schema.
+/// Cause of a refusal or retry. Each has a label in the metrics and a number in the schema.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Reason {
-    /// The request itself is wrong.
+    /// The request is invalid.
     Invalid,
     /// The configuration has no such service.
     UnknownService,
     /// There is no such job.
     UnknownJob,
-    /// The key, or the version, belongs to something else.
+    /// The key or the version is already used by something else.
     Conflict,
-    /// The body, the prompt or the job is above its bound.
+    /// The body, the prompt or the job exceeds its size limit.
     TooLarge,
-    /// The deadline passed or can't be met.
+    /// The deadline has passed or can't be met.
     Deadline,
     /// Every endpoint is full.
     Overloaded,
-    /// The organisation is above its rate or concurrency.
+    /// The organisation exceeds its rate or concurrency limit.
     Limited,
     /// No endpoint of the service can be reached.
     NoEndpoint,
-    /// The platform's table or store can't be reached or throttles.
+    /// The platform's table or store can't be reached, or throttles requests.
     Platform,
-    /// This node is leaving or does not know the configuration yet.
+    /// This node is leaving, or has no configuration yet.
     NotReady,
     /// The caller or an operator cancelled it.
     Cancelled,
-    /// The endpoint answered with an error or broke off.
+    /// The endpoint answered with an error or broke the connection.
     EndpointFailed,
-    /// A request that must not be repeated has been seen before.
+    /// The idempotency key of the request has been used before.
     AlreadyRun,
     /// The link between two nodes broke.
     LinkFailed,
-    /// A broken invariant; the log has the event.
+    /// An invariant was violated; the log has the event.
     Internal,
 }
 
 impl Reason {
-    /// Every reason, for counters made at start.
+    /// Every reason, to create the counters at start.
     pub const ALL: [Self; 16] = [
         Self::Invalid,
         Self::UnknownService,
@@ -97,7 +95,7 @@
         Self::Internal,
     ];
 
-    /// The label in metrics and logs.
+    /// Returns the label in metrics and logs.
     pub const fn label(self) -> &'static str {
         match self {
             Self::Invalid => "invalid",
@@ -119,24 +117,24 @@
         }
     }
 
-    /// What a person should do next.
+    /// Returns what the user should do next.
     pub const fn advice(self) -> &'static str {
         match self {
             Self::Invalid => "correct the request and send it again",
-            Self::UnknownService => "ask `auburnspoke service list` which services there are",
-            Self::UnknownJob => "check the job's name; `auburnspoke job list` names them",
+            Self::UnknownService => "run `auburnspoke service list` to see the services",
+            Self::UnknownJob => "check the job's name; `auburnspoke job list` shows the jobs",
             Self::Conflict => "read the current state and choose another key or version",
-            Self::TooLarge => "send less, or split it",
-            Self::Deadline => "allow more time, or come back when the fleet is less busy",
-            Self::Overloaded => "come back after the time that is named",
-            Self::Limited => "slow down; the organisation is above its limit",
-            Self::NoEndpoint => "come back later; no endpoint of the service can be reached",
-            Self::Platform => "come back later; the platform's service can't be reached",
+            Self::TooLarge => "reduce the size, or split the request",
+            Self::Deadline => "allow more time, or retry when the load is lower",
+            Self::Overloaded => "retry after the given time",
+            Self::Limited => "reduce the request rate; the organisation exceeds its limit",
+            Self::NoEndpoint => "retry later; no endpoint of the service can be reached",
+            Self::Platform => "retry later; the platform's service can't be reached",
             Self::NotReady => "use another address; this node is starting or leaving",
-            Self::Cancelled => "nothing; it was cancelled",
-            Self::EndpointFailed | Self::LinkFailed => "send it again if it may be repeated",
-            Self::AlreadyRun => "ask about the first request; this key has been used",
-            Self::Internal => "report it with the node's log",
+            Self::Cancelled => "no action needed; it was cancelled",
+            Self::EndpointFailed | Self::LinkFailed => "retry if the request may be repeated",
+            Self::AlreadyRun => "check the first request with this key; the key has been used",
+            Self::Internal => "report this error together with the node's log",
         }
     }
 }
@@ -148,7 +146,7 @@
 }
 
 impl Refusal {
-    /// A refusal for which coming back does not help.
+    /// Creates a refusal without a retry delay and message.
     pub fn new(reason: Reason) -> Self {
         Self {
             reason,
@@ -158,14 +156,14 @@
         }
     }
 
-    /// The same, naming when to come back.
+    /// Sets the delay after which to retry.
     #[must_use]
     pub fn after(mut self, wait: Duration) -> Self {
         self.retry_after = Some(wait);
         self
     }
 
-    /// The same, telling a person more than the reason does.
+    /// Sets a message with more detail than the reason's advice.
     #[must_use]
     pub fn with_message<M>(mut self, message: M) -> Self
     where
@@ -185,14 +183,14 @@
         };
         write!(f, "{}: {text}", self.reason)?;
         if let Some(wait) = self.retry_after {
-            write!(f, " (come back after {} ms)", wait.as_millis())?;
+            write!(f, " (retry after {} ms)", wait.as_millis())?;
         }
         Ok(())
     }
 }
 
 impl<T> Outcome<T> {
-    /// Applies `f` to the value of a done outcome.
+    /// Applies `f` to the value of a completed outcome.
     pub fn map<U, F>(self, f: F) -> Outcome<U>
     where
         F: FnOnce(T) -> U,
@@ -204,7 +202,7 @@
         }
     }
 
-    /// True when it is certain that nothing ran.
+    /// True when certainly nothing ran.
     pub const fn is_not_run(&self) -> bool {
         matches!(self, Self::NotRun(_))
     }
--- a/src/request.rs
+++ b/src/request.rs
@@ -1,4 +1,4 @@
-//! One request or batch item on its way to an endpoint.
+//! A request or batch item to be run by an endpoint.
 
 use std::time::Duration;
 
@@ -8,20 +8,20 @@
 use crate::name::Name;
 use crate::quarantine::Fingerprint;
 
-/// The two kinds of work that share the fleet.
+/// Class of work; both classes share the endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Class {
-    /// Somebody is waiting for the answer.
+    /// A caller is waiting for the answer.
     Online,
     /// An item of a batch job.
     Batch,
 }
 
 impl Class {
-    /// Both classes, the urgent one first.
+    /// Both classes, the more urgent one first.
     pub const ALL: [Self; 2] = [Self::Online, Self::Batch];
 
-    /// The label in metrics and logs.
+    /// Returns the label in metrics and logs.
     pub const fn label(self) -> &'static str {
         match self {
             Self::Online => "online",
@@ -30,14 +30,14 @@
     }
 }
 
-/// What the endpoint is asked to do.
+/// The work to be done by the endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
     /// Complete a prompt on a model engine.
     Prompt {
         /// The text to complete.
         prompt: Name,
-        /// Most tokens to generate.
+        /// Maximum number of tokens to generate.
         max_tokens: u32,
     },
     /// One HTTP call to a plain service.
@@ -49,36 +49,35 @@
     },
 }
 
-/// A request as the nodes pass it on.
+/// A request as it is sent between nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Request {
-    /// The service that must answer.
+    /// The service that it is for.
     pub service: Name,
-    /// The organisation that asks, for limits and fairness.
+    /// The organisation that sent it, for limits and fairness.
     pub organisation: Name,
-    /// The caller's identity of the request; may be empty if it is repeatable.
+    /// The caller's idempotency key; may be empty if the request is repeatable.
     pub key: Name,
     /// True when it must run at most once.
     pub once: bool,
     /// Online or batch.
     pub class: Class,
-    /// Time left until the caller gives up. A duration, not a time of day,
-    /// because VMs' clocks differ; each hop subtracts what it spent.
+    /// Time left until the caller's deadline. A duration rather than a time of day, because the
+    /// clocks of VMs differ; each hop subtracts the time it spent.
     pub time_left: Duration,
-    /// What to do.
+    /// The work to be done.
     pub body: Body,
-    /// True when its gateway has another endpoint for it and would rather be
-    /// told at once that this one is crowded than wait.
+    /// True when its gateway has another endpoint for it, so that a busy endpoint should refuse
+    /// it immediately instead of queueing it.
     pub spills: bool,
-    /// Tokens of the answer that the caller has already, when a broken stream
-    /// is resumed on another path.
+    /// Number of tokens that the caller already has, when a broken stream is resumed.
     pub resume_from: u32,
-    /// The text of those tokens, which the engine continues.
+    /// The text of those tokens, from which the engine continues.
     pub resume_text: Name,
 }
 
 impl Request {
-    /// Which request it is, whatever its key: the same service, organisation and body.
+    /// Returns the hash of service, organisation and body, independent of the key.
     pub fn fingerprint(&self) -> Fingerprint {
         let organisation = Some(&*self.organisation);
         match &self.body {
@@ -90,12 +89,12 @@
     }
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
     /// The generated text, or empty for a plain service.
     pub text: String,
-    /// Tokens generated.
+    /// Number of generated tokens.
     pub tokens: u32,
     /// HTTP status of a plain service; 0 for a model.
     pub status: u16,
@@ -108,9 +107,9 @@
 /// A part of a streamed answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Piece {
-    /// Tokens of the answer before this piece.
+    /// Number of tokens of the answer before this piece.
     pub offset: u32,
-    /// Tokens in this piece.
+    /// Number of tokens in this piece.
     pub tokens: u32,
     /// Their text.
     pub text: String,
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -1,7 +1,7 @@
-//! Whether, when and how a request is tried again.
+//! Decides whether and when a request is retried.
 //!
-//! docs/design/retries.md tells which retries are legal, why they have a
-//! budget and what hedging costs.
+//! docs/design/retries.md explains which retries are legal, why they have a budget and what
+//! hedging costs.
 
 use std::time::Duration;
 
@@ -15,60 +15,59 @@
 pub use budget::Budget;
 pub use hedge::Hedge;
 
-/// Attempts at one request, the first among them.
+/// Maximum number of attempts at one request, including the first.
 const MAX_ATTEMPTS: u32 = 4;
-/// Wait before a second retry; doubles each time.
+/// Wait before the second retry; doubles with each further one.
 const BACKOFF: Duration = Duration::from_millis(20);
-/// Less time than this is not worth another attempt.
-const MIN_TIME: Duration = Duration::from_millis(50);
+/// Minimum remaining time for another attempt.
+const MIN_TIME_LEFT: Duration = Duration::from_millis(50);
 
-/// How an attempt ended without an answer.
+/// Outcome of an attempt that ended without an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// It certainly did not run.
+    /// The request certainly did not run.
     NotRun(Refusal),
-    /// It may have run.
+    /// The request may have run.
     MayHaveRun(Refusal),
 }
 
-/// What is known of the request.
+/// State of the request at the time of the decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Attempt {
-    /// Attempts so far, the failed one among them.
+    /// Number of attempts so far, including the failed one.
     pub count: u32,
     /// True when the request must run at most once.
     pub once: bool,
-    /// Time until the caller gives up.
+    /// Time until the caller's deadline.
     pub time_left: Duration,
-    /// True when another endpoint is left to try.
+    /// True when there is another endpoint to try.
     pub has_alternative: bool,
 }
 
-/// What to do next.
+/// Decision about a failed attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Try again after `wait`, from the offset that the caller has.
+    /// Retry after `wait`, from the offset that the caller has.
     Retry {
-        /// How long to wait first.
+        /// Delay before the retry.
         wait: Duration,
     },
-    /// Tell the caller at once.
+    /// Return the failure to the caller.
     GiveUp(Failure),
 }
 
-/// Decides what follows a failed attempt; takes from `budget` what it spends.
+/// Decides whether to retry a failed attempt. A retry is charged to `budget`.
 ///
-/// After [`Failure::MayHaveRun`] a request that must run at most once is never
-/// tried again, whatever else holds.
+/// After [`Failure::MayHaveRun`] a request that must run at most once is never retried.
 pub fn decide(failure: Failure, attempt: &Attempt, budget: &mut Budget) -> Decision {
     let (refusal, legal) = match &failure {
         Failure::NotRun(refusal) => (refusal, true),
         Failure::MayHaveRun(refusal) => (refusal, !attempt.once),
     };
-    let useful = helps(refusal.reason)
+    let useful = is_retryable(refusal.reason)
         && attempt.has_alternative
         && attempt.count < MAX_ATTEMPTS
-        && attempt.time_left >= MIN_TIME;
+        && attempt.time_left >= MIN_TIME_LEFT;
     if !legal || !useful || !budget.withdraw() {
         return Decision::GiveUp(failure);
     }
@@ -79,8 +78,8 @@
     Decision::Retry { wait }
 }
 
-/// True when another endpoint may do better.
-const fn helps(reason: Reason) -> bool {
+/// True when another endpoint may succeed.
+const fn is_retryable(reason: Reason) -> bool {
     matches!(
         reason,
         Reason::Overloaded
--- a/src/retry/assembly.rs
+++ b/src/retry/assembly.rs
@@ -1,91 +1,90 @@
-//! Puts the pieces of an answer together, whichever path they took.
+//! Assembles the pieces of a streamed answer that arrive over several paths.
 //!
-//! What goes wrong without it: after a broken stream was resumed elsewhere, a
-//! late piece of the first path arrives and the caller reads a word twice, or
-//! reads a word that belongs further on. Here a piece goes to the caller only
-//! when its offset is exactly what the caller has.
+//! After a broken stream is resumed at another endpoint, a late piece of the first path may
+//! still arrive. Without the assembly the caller would get text twice or out of order. Here a
+//! piece is delivered only when its offset equals the number of tokens that the caller has.
 
 use std::collections::BTreeMap;
 
 use crate::request::Piece;
 
-/// Pieces that may wait for an earlier one.
-const MAX_AHEAD: usize = 256;
+/// Limit on the pieces that wait for an earlier one.
+const MAX_BUFFERED: usize = 256;
 
-/// The answer so far.
+/// The part of an answer that has been delivered.
 #[derive(Clone, Debug, Default)]
 pub struct Assembly {
     tokens: u32,
     text: String,
-    ahead: BTreeMap<u32, Piece>,
+    buffered: BTreeMap<u32, Piece>,
 }
 
-/// What became of a piece.
+/// Result of pushing a piece.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Push {
-    /// These pieces come next and go to the caller, in order.
+    /// These pieces are delivered next, in order.
     Next(Vec<Piece>),
-    /// The caller has it, or it waits for an earlier one.
+    /// The caller already has the piece, or it waits for an earlier one.
     Nothing,
-    /// It contradicts what the caller has, or too many wait; the path that
-    /// brought it must be given up.
+    /// The piece overlaps what the caller has, or too many are waiting. The path that it came
+    /// from must be abandoned.
     Broken,
 }
 
 impl Assembly {
-    /// An answer of which the caller has `tokens` with `text`.
+    /// Creates an assembly for a caller that already has `tokens` tokens with `text`.
     pub fn resumed(tokens: u32, text: &str) -> Self {
         Self {
             tokens,
             text: text.to_owned(),
-            ahead: BTreeMap::new(),
+            buffered: BTreeMap::new(),
         }
     }
 
-    /// Tokens that the caller has, from where a resumed stream goes on.
+    /// Returns the number of tokens that the caller has, at which a stream resumes.
     pub fn tokens(&self) -> u32 {
         self.tokens
     }
 
-    /// Their text.
+    /// Returns the text of those tokens.
     pub fn text(&self) -> &str {
         &self.text
     }
 
-    /// The path broke: pieces that wait for an earlier one will be sent again.
+    /// Drops the waiting pieces after a path broke; they will be sent again.
     pub fn restart(&mut self) {
-        self.ahead.clear();
+        self.buffered.clear();
     }
 
-    /// Takes a piece from any path.
+    /// Adds a piece from any path.
     pub fn push(&mut self, piece: Piece) -> Push {
         let end = piece.offset.saturating_add(piece.tokens);
         if end <= self.tokens {
             return Push::Nothing;
         }
         if piece.offset < self.tokens {
-            // Text can't be cut between tokens that came in one piece.
+            // The text of a piece can't be split between its tokens.
             return Push::Broken;
         }
         if piece.offset > self.tokens {
-            if self.ahead.len() >= MAX_AHEAD {
+            if self.buffered.len() >= MAX_BUFFERED {
                 return Push::Broken;
             }
-            self.ahead.entry(piece.offset).or_insert(piece);
+            self.buffered.entry(piece.offset).or_insert(piece);
             return Push::Nothing;
         }
         let mut next = vec![self.take(piece)];
-        while let Some(piece) = self.ahead.remove(&self.tokens) {
+        while let Some(piece) = self.buffered.remove(&self.tokens) {
             next.push(self.take(piece));
         }
         let tokens = self.tokens;
-        self.ahead.retain(|offset, _| *offset > tokens);
+        self.buffered.retain(|offset, _| *offset > tokens);
         Push::Next(next)
     }
 
-    /// True when `tokens` is the length of the answer and the caller has it all.
-    pub fn is_whole(&self, tokens: u32) -> bool {
-        self.tokens == tokens && self.ahead.is_empty()
+    /// True when the caller has the whole answer, given that its length is `tokens`.
+    pub fn is_complete(&self, tokens: u32) -> bool {
+        self.tokens == tokens && self.buffered.is_empty()
     }
 
     fn take(&mut self, piece: Piece) -> Piece {
--- a/src/retry/budget.rs
+++ b/src/retry/budget.rs
@@ -1,16 +1,16 @@
-//! The budget that keeps retries from turning a brown-out into a storm.
+//! Retry budget, which keeps retries from amplifying an overload.
 
-/// Retries that each success pays for.
+/// Retries that each success adds to the budget.
 const DEPOSIT: f64 = 0.1;
-/// Retries that can be saved up.
-const MOST: f64 = 20.0;
+/// Maximum number of retries in the budget.
+const CAPACITY: f64 = 20.0;
 
-/// A bucket that successes fill and retries empty.
+/// A token bucket that successes refill and retries drain.
 ///
-/// What goes wrong without it: endpoints slow down, requests fail, each is
-/// tried several times, and the load that was too high doubles. One notices by
-/// goodput staying down after the fault is gone. Here retries are at most a
-/// tenth of the successes in the long run, and none when nothing succeeds.
+/// Without it, endpoints that slow down make requests fail, each request is retried several
+/// times, and the load that was already too high multiplies; goodput then stays low after the
+/// fault is gone. With it, retries are at most a tenth of the successes in the long run, and
+/// stop when nothing succeeds.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
     tokens: f64,
@@ -18,17 +18,17 @@
 
 impl Default for Budget {
     fn default() -> Self {
-        Self { tokens: MOST }
+        Self { tokens: CAPACITY }
     }
 }
 
 impl Budget {
-    /// A request was answered.
+    /// Records a success.
     pub fn deposit(&mut self) {
-        self.tokens = (self.tokens + DEPOSIT).min(MOST);
+        self.tokens = (self.tokens + DEPOSIT).min(CAPACITY);
     }
 
-    /// Takes one retry out; false when there is none.
+    /// Takes a retry from the budget; returns false when it is empty.
     pub fn withdraw(&mut self) -> bool {
         let left = self.tokens >= 1.0;
         if left {
@@ -37,7 +37,7 @@
         left
     }
 
-    /// Retries left.
+    /// Returns the number of retries left.
     pub fn left(&self) -> f64 {
         self.tokens
     }
--- a/src/retry/hedge.rs
+++ b/src/retry/hedge.rs
@@ -1,19 +1,19 @@
-//! A second attempt at a repeatable question whose first token is late.
+//! Hedging: a second attempt at a repeatable request whose first token is late.
 
 use std::time::Duration;
 
-/// Steps by which the estimate moves, relative to itself.
+/// Relative step by which the estimate moves.
 const STEP: f64 = 0.05;
-/// Share of questions that may be hedged.
-const SHARE: f64 = 0.05;
-/// Hedges that can be saved up.
-const MOST: f64 = 10.0;
-/// Estimate before anything is known, in microseconds.
-const START_US: f64 = 150_000.0;
-/// The quantile of the first-token time after which a question is late.
+/// Fraction of requests that may be hedged.
+const HEDGE_FRACTION: f64 = 0.05;
+/// Maximum number of saved hedges.
+const CAPACITY: f64 = 10.0;
+/// Initial estimate.
+const INITIAL_US: f64 = 150_000.0;
+/// Quantile of the time to first token beyond which a request is late.
 const QUANTILE: f64 = 0.95;
 
-/// Learns when a first token is late, and allows a hedge now and then.
+/// Estimates when a first token is late, and limits the number of hedges.
 #[derive(Clone, Copy, Debug)]
 pub struct Hedge {
     late_us: f64,
@@ -23,15 +23,15 @@
 impl Default for Hedge {
     fn default() -> Self {
         Self {
-            late_us: START_US,
+            late_us: INITIAL_US,
             tokens: 0.0,
         }
     }
 }
 
 impl Hedge {
-    /// A first token came after `took`. Moves the estimate of the quantile by
-    /// a small step up or down, so that no samples need be kept.
+    /// Records a time to first token. Moves the estimate of the quantile by a small step up or
+    /// down, which needs no stored samples.
     pub fn first_token(&mut self, took: Duration) {
         let micros = took.as_secs_f64() * 1e6;
         let step = if micros > self.late_us {
@@ -40,17 +40,16 @@
             QUANTILE - 1.0
         };
         self.late_us *= 1.0 + STEP * step;
-        self.tokens = (self.tokens + SHARE).min(MOST);
+        self.tokens = (self.tokens + HEDGE_FRACTION).min(CAPACITY);
     }
 
-    /// When to hedge a question without a first token, counted from when it
-    /// was sent.
+    /// Returns the time after sending at which a request without a first token is hedged.
     pub fn wait(&self) -> Duration {
         Duration::from_secs_f64(self.late_us / 1e6)
     }
 
-    /// Takes one hedge out; false when there is none. Only for repeatable
-    /// requests of which no token has come.
+    /// Takes a saved hedge; returns false when there is none. Only for repeatable requests
+    /// without any token yet.
     pub fn withdraw(&mut self) -> bool {
         let left = self.tokens >= 1.0;
         if left {
--- a/tests/attempt_decide.rs
+++ b/tests/attempt_decide.rs
@@ -1,4 +1,4 @@
-//! What may be done with a request after an endpoint failed it.
+//! Next actions after an endpoint failed a request.
 
 use std::time::Duration;
 
@@ -9,13 +9,13 @@
 
 const START: Time = Time::from_millis(10_000);
 
-fn attempt(repeat: Repeat, most: u32) -> Attempt {
-    Attempt::new(repeat, most, START + Duration::from_secs(5), None)
+fn attempt(repeat: Repeat, max_runs: u32) -> Attempt {
+    Attempt::new(repeat, max_runs, START + Duration::from_secs(5), None)
 }
 
-/// An endpoint crashes after it sent events that carry no numbers. Nothing tells
-/// the next endpoint where to go on, so that its whole answer behind the first
-/// events would reach the caller as one answer that nobody gave.
+/// An endpoint crashes after sending events without numbers. The next endpoint has no position
+/// to resume from, so its whole answer would be appended to the first events, which would give
+/// the caller a corrupt answer.
 #[gtest]
 fn failed_events_without_numbers() {
     let mut attempt = attempt(Repeat::Resume, 2);
@@ -39,8 +39,8 @@
     expect_that!(attempt.failed(START, Failure::Lost), eq(Next::Break));
 }
 
-/// A request that must not be repeated reached an endpoint which then broke
-/// off. To call it "not run", or to run it again, would double it.
+/// A request that must not be repeated reached an endpoint, which then broke the connection.
+/// Reporting it as "not run", or running it again, could run it twice.
 #[gtest]
 fn failed_once_lost() {
     let mut attempt = attempt(Repeat::Never, 3);
@@ -56,8 +56,8 @@
     expect_that!(attempt.is_not_run(), eq(true));
 }
 
-/// Endpoints are full one after the other; the caller should hear soon that
-/// the request has not run.
+/// One endpoint after another is full; the caller must soon be told that the request has not
+/// run.
 #[gtest]
 fn failed_not_run_everywhere() {
     let mut attempt = attempt(Repeat::Whole, 2);
@@ -81,7 +81,7 @@
 }
 
 #[gtest]
-fn failed_own_error_passed_on() {
+fn failed_own_error_forwarded() {
     let mut attempt = attempt(Repeat::Whole, 1);
     attempt.start_run();
     expect_that!(attempt.failed(START, Failure::Answered), eq(Next::Pass));
@@ -107,17 +107,17 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 4_000, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever endpoints do in whatever order: "not run" is said only if every
-    /// endpoint that got the request said so, no more endpoints run it than may,
-    /// and an answer that has begun is only gone on with behind a known event.
+    /// For any order of failures: "not run" is reported only if every endpoint that got the
+    /// request reported it, the limit on runs holds, and an answer that has begun is resumed
+    /// only after a numbered event.
     #[test]
     fn failed_any_order(
         kind in 0..3_usize,
-        most in 1_u32..4,
+        max_runs in 1_u32..4,
         steps in proptest::collection::vec(step(), 1..12),
     ) {
         let repeat = [Repeat::Never, Repeat::Whole, Repeat::Resume][kind];
-        let mut attempt = attempt(repeat, most);
+        let mut attempt = attempt(repeat, max_runs);
         let mut ran = 0;
         let mut begun = false;
         let mut numbered = true;
@@ -146,7 +146,7 @@
                     prop_assert!(!begun || (repeat == Repeat::Resume && numbered));
                     attempt.start_run();
                     ran += 1;
-                    prop_assert!(ran <= most);
+                    prop_assert!(ran <= max_runs);
                 }
                 Next::Refuse => {
                     prop_assert_eq!(ran, 0);
--- a/tests/retry_decide.rs
+++ b/tests/retry_decide.rs
@@ -1,4 +1,4 @@
-//! Whether a request is tried again, and how an answer is put together.
+//! Retry decisions and the assembly of a streamed answer.
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
     Failure::MayHaveRun(Refusal::new(Reason::EndpointFailed))
 }
 
-fn is_again(decision: &Decision) -> bool {
+fn is_retry(decision: &Decision) -> bool {
     matches!(decision, Decision::Retry { .. })
 }
 
@@ -38,8 +38,8 @@
 
 #[gtest]
 fn decide_once() {
-    // A remittance advice must go out once. Its endpoint broke off after it got
-    // the call: trying again might pay a supplier twice.
+    // The endpoint of a request that must run at most once broke the connection after it got
+    // the request. A retry might run it twice.
     let once = Attempt {
         once: true,
         ..attempt()
@@ -47,12 +47,12 @@
     let mut budget = Budget::default();
     let decision = decide(may_have_run(), &once, &mut budget);
     expect_that!(decision, eq(&Decision::GiveUp(may_have_run())));
-    expect_true!(is_again(&decide(not_run(), &once, &mut budget)));
-    expect_true!(is_again(&decide(may_have_run(), &attempt(), &mut budget)));
+    expect_true!(is_retry(&decide(not_run(), &once, &mut budget)));
+    expect_true!(is_retry(&decide(may_have_run(), &attempt(), &mut budget)));
 }
 
 #[gtest]
-fn decide_no_use() {
+fn decide_not_useful() {
     let mut budget = Budget::default();
     let cases = [
         Attempt {
@@ -69,17 +69,16 @@
         },
     ];
     for attempt in cases {
-        expect_false!(is_again(&decide(not_run(), &attempt, &mut budget)));
+        expect_false!(is_retry(&decide(not_run(), &attempt, &mut budget)));
     }
     let limited = Failure::NotRun(Refusal::new(Reason::Limited));
-    expect_false!(is_again(&decide(limited, &attempt(), &mut budget)));
+    expect_false!(is_retry(&decide(limited, &attempt(), &mut budget)));
 }
 
 #[gtest]
 fn budget_brown_out() {
-    // Every endpoint fails for a while. Each request tried four times would
-    // make four times the load that was already too much; the budget holds the
-    // extra load to what was saved up.
+    // Every endpoint fails for a while. Four attempts at each request would quadruple a load
+    // that is already too high; the budget limits the extra load to its capacity.
     let mut budget = Budget::default();
     let requests = 1_000;
     let mut sent = 0;
@@ -87,22 +86,22 @@
         sent += 1;
         for count in 1.. {
             let attempt = Attempt { count, ..attempt() };
-            if !is_again(&decide(may_have_run(), &attempt, &mut budget)) {
+            if !is_retry(&decide(may_have_run(), &attempt, &mut budget)) {
                 break;
             }
             sent += 1;
         }
     }
     expect_that!(sent, le(requests + 20));
-    // Success refills it slowly: a tenth of a retry each.
+    // Each success adds a tenth of a retry.
     (0..100).for_each(|_| budget.deposit());
     expect_that!(budget.left(), all!(ge(9.0), le(11.0)));
 }
 
 #[gtest]
 fn assembly_late_doubled_reordered() {
-    // A stream broke and was resumed elsewhere. Pieces of the first path arrive
-    // late, some twice and out of order. The caller reads each word once.
+    // A stream broke and was resumed at another endpoint. Pieces of the first path arrive late,
+    // twice or out of order. The caller gets each piece once and in order.
     let mut assembly = Assembly::default();
     let mut read = String::new();
     for (offset, text) in [
@@ -121,15 +120,15 @@
     }
     expect_that!(read, eq("abcdefgh"));
     expect_that!(assembly.text(), eq("abcdefgh"));
-    expect_true!(assembly.is_whole(8));
+    expect_true!(assembly.is_complete(8));
 }
 
 #[gtest]
-fn assembly_gap_never_whole() {
+fn assembly_gap_incomplete() {
     let mut assembly = Assembly::default();
     assembly.push(piece(0, "ab"));
     assembly.push(piece(4, "ef"));
-    expect_false!(assembly.is_whole(6));
+    expect_false!(assembly.is_complete(6));
     expect_that!(assembly.tokens(), eq(2));
 }
 
@@ -144,7 +143,7 @@
 }
 
 #[gtest]
-fn hedge_learns_late() {
+fn hedge_late_estimate() {
     let mut hedge = Hedge::default();
     for n in 0..2_000 {
         hedge.first_token(Duration::from_millis(if n % 100 < 3 { 400 } else { 50 }));
