--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -124,7 +124,7 @@
                 let peer = names[at].clone();
                 let answered = Input::Answered {
                     peer,
-                    asked: now,
+                    requested_at: now,
                     report,
                 };
                 follower.step(now, answered, &mut actions);
--- a/src/config/follow.rs
+++ b/src/config/follow.rs
@@ -43,9 +43,9 @@
 const QUERY_AFTER: Duration = Duration::from_secs(9);
 /// Minimum interval between queries to the same peer.
 const QUERY_INTERVAL: Duration = Duration::from_secs(3);
-/// One in this many peers is queried per tick of one second: more than half of
-/// them answer well within [`EVIDENCE_TTL`], and an outage causes bounded
-/// traffic.
+/// One in this many peers is queried per tick of one second, so that more than
+/// half of the fleet answers well within [`EVIDENCE_TTL`] and an outage causes
+/// bounded traffic.
 const QUERY_FRACTION: usize = 16;
 /// Minimum number of peers queried per tick of one second.
 const MIN_QUERIES: usize = 3;
@@ -68,7 +68,7 @@
     newer: Option<(u64, Time)>,
     witness: bool,
     peers: BTreeMap<Name, Option<(Time, Report)>>,
-    asked: BTreeMap<Name, Time>,
+    queried_at: BTreeMap<Name, Time>,
     poll_at: Time,
     fetch_at: Option<Time>,
     /// Start of the outstanding read of the pointer row.
@@ -96,7 +96,7 @@
             newer: None,
             witness: false,
             peers: BTreeMap::new(),
-            asked: BTreeMap::new(),
+            queried_at: BTreeMap::new(),
             poll_at: now,
             fetch_at: None,
             polling: None,
@@ -140,24 +140,33 @@
     pub fn step(&mut self, now: Time, input: Input, actions: &mut Vec<Action>) {
         match input {
             Input::Tick => self.tick(now, actions),
-            Input::Polled { asked, result } => self.polled(now, asked, &result),
-            Input::Fetched { asked, result } => {
+            Input::Polled {
+                requested_at,
+                result,
+            } => self.polled(now, requested_at, &result),
+            Input::Fetched {
+                requested_at,
+                result,
+            } => {
                 self.fetching = None;
                 if let Ok(Some(document)) = result {
-                    self.apply_current(now, asked, document, actions);
+                    self.apply_current(now, requested_at, document, actions);
                 }
             }
             Input::Offered(document) => self.apply(now, document, actions),
-            Input::Committed { asked, document } => {
-                self.apply_current(now, asked, document, actions);
+            Input::Committed {
+                requested_at,
+                document,
+            } => {
+                self.apply_current(now, requested_at, document, actions);
             }
             Input::Announced(version) => self.announce(now, version),
             Input::Mentioned(version) => self.note_version(now, version),
             Input::Answered {
                 peer,
-                asked,
+                requested_at,
                 report,
-            } => self.answered(now, &peer, asked, report, actions),
+            } => self.answered(now, &peer, requested_at, report, actions),
             Input::Peers(names) => self.set_peers(names),
         }
         self.extend(now, actions);
@@ -210,41 +219,41 @@
 
     /// Queries a part of the peers, least recently queried first.
     fn query_peers(&mut self, now: Time, actions: &mut Vec<Action>) {
-        let asked = |name: &Name| self.asked.get(name).copied();
+        let queried_at = |name: &Name| self.queried_at.get(name).copied();
         let mut due: Vec<(Option<Time>, Name)> = self
             .peers
             .keys()
-            .filter(|name| asked(name).is_none_or(|at| now.since(at) >= QUERY_INTERVAL))
-            .map(|name| (asked(name), name.clone()))
+            .filter(|name| queried_at(name).is_none_or(|at| now.since(at) >= QUERY_INTERVAL))
+            .map(|name| (queried_at(name), name.clone()))
             .collect();
         due.sort_unstable();
         let part = self.peers.len().div_ceil(QUERY_FRACTION).max(MIN_QUERIES);
         for (_, name) in due.into_iter().take(part) {
-            self.asked.insert(name.clone(), now);
+            self.queried_at.insert(name.clone(), now);
             actions.push(Action::Query(name));
         }
     }
 
-    fn polled(&mut self, now: Time, asked: Time, result: &Result<Option<Pointer>, Fault>) {
+    fn polled(&mut self, now: Time, requested_at: Time, result: &Result<Option<Pointer>, Fault>) {
         self.polling = None;
         let Ok(found) = result else { return };
-        self.poll_at = asked + POLL_INTERVAL;
+        self.poll_at = requested_at + POLL_INTERVAL;
         let Some(pointer) = found else { return };
         self.note_version(now, pointer.version);
-        self.confirm(pointer.version, asked);
+        self.confirm(pointer.version, requested_at);
     }
 
-    /// Applies a document that the table had as current at `asked` or later.
+    /// Applies a document that the table had as current at `requested_at` or later.
     fn apply_current(
         &mut self,
         now: Time,
-        asked: Time,
+        requested_at: Time,
         document: Arc<Document>,
         actions: &mut Vec<Action>,
     ) {
         let version = document.version;
         self.apply(now, document, actions);
-        self.confirm(version, asked);
+        self.confirm(version, requested_at);
     }
 
     /// Applies a newer document. An older one is never applied, whatever its
@@ -310,7 +319,7 @@
         &mut self,
         now: Time,
         peer: &Name,
-        asked: Time,
+        requested_at: Time,
         report: Report,
         actions: &mut Vec<Action>,
     ) {
@@ -319,18 +328,18 @@
             actions.push(Action::FetchFrom(peer.clone()));
         }
         if let Some(ago) = report.confirmed_ago {
-            self.confirm(report.version, asked - ago);
+            self.confirm(report.version, requested_at - ago);
         }
         if let Some(latest) = self.peers.get_mut(peer)
-            && latest.is_none_or(|(at, _)| at <= asked)
+            && latest.is_none_or(|(at, _)| at <= requested_at)
         {
-            *latest = Some((asked, report));
+            *latest = Some((requested_at, report));
         }
     }
 
     fn set_peers(&mut self, names: Vec<Name>) {
         let mut old = std::mem::take(&mut self.peers);
-        self.asked.retain(|name, _| names.contains(name));
+        self.queried_at.retain(|name, _| names.contains(name));
         for name in names {
             let answer = old.remove(&name).flatten();
             self.peers.insert(name, answer);
@@ -375,7 +384,7 @@
             .filter(|(_, report)| {
                 report.witness && report.newest.max(report.announced) <= self.version()
             })
-            .map(|(asked, _)| *asked)
+            .map(|(requested_at, _)| *requested_at)
             .collect();
         if self.witness {
             times.push(now);
--- a/src/config/follow/message.rs
+++ b/src/config/follow/message.rs
@@ -38,14 +38,14 @@
     /// A read of the pointer row has completed or failed.
     Polled {
         /// Time at which the read was sent.
-        asked: Time,
+        requested_at: Time,
         /// Result of the read; `None` if there is no configuration yet.
         result: Result<Option<Pointer>, Fault>,
     },
     /// A read of the document has completed or failed.
     Fetched {
         /// Time at which the read was sent.
-        asked: Time,
+        requested_at: Time,
         /// Result of the read.
         result: Result<Option<Arc<Document>>, Fault>,
     },
@@ -54,7 +54,7 @@
     /// This node committed a document.
     Committed {
         /// Time at which the commit was started.
-        asked: Time,
+        requested_at: Time,
         /// The document.
         document: Arc<Document>,
     },
@@ -68,7 +68,7 @@
         /// Name of the peer.
         peer: Name,
         /// Time at which the query was sent.
-        asked: Time,
+        requested_at: Time,
         /// Answer of the peer.
         report: Report,
     },
--- a/src/config/watch.rs
+++ b/src/config/watch.rs
@@ -121,10 +121,13 @@
         self.step(Input::Announced(version));
     }
 
-    /// Records that this node committed a document; `asked` is the time at which
-    /// the commit was started.
-    pub fn committed(&self, asked: crate::clock::Time, document: Arc<Document>) {
-        self.step(Input::Committed { asked, document });
+    /// Records that this node committed a document; `requested_at` is the time at
+    /// which the commit was started.
+    pub fn committed(&self, requested_at: crate::clock::Time, document: Arc<Document>) {
+        self.step(Input::Committed {
+            requested_at,
+            document,
+        });
     }
 
     /// Returns the answer to a query of a peer.
@@ -161,11 +164,11 @@
             }
             Action::Query(peer) => {
                 actix_rt::spawn(async move {
-                    let asked = watch.inner.clock.now();
+                    let requested_at = watch.inner.clock.now();
                     if let Some(report) = watch.inner.peers.report(&peer).await {
                         watch.step(Input::Answered {
                             peer,
-                            asked,
+                            requested_at,
                             report,
                         });
                     }
@@ -194,7 +197,7 @@
     }
 
     async fn poll(&self) {
-        let asked = self.inner.clock.now();
+        let requested_at = self.inner.clock.now();
         let result = self.inner.table.get(POINTER_KEY).await;
         let result = match result {
             Ok(Some(found)) => row::decode::<Pointer>(&found.value)
@@ -206,11 +209,14 @@
         if let Err(fault) = &result {
             log::warn!("{} fault={fault:?}", event::CONFIG_UNREAD);
         }
-        self.step(Input::Polled { asked, result });
+        self.step(Input::Polled {
+            requested_at,
+            result,
+        });
     }
 
     async fn fetch(&self) {
-        let asked = self.inner.clock.now();
+        let requested_at = self.inner.clock.now();
         let result = self.inner.table.get(DOCUMENT_KEY).await;
         let result = match result {
             Ok(Some(found)) => row::decode::<Document>(&found.value)
@@ -222,7 +228,10 @@
         if let Err(fault) = &result {
             log::warn!("{} fault={fault:?}", event::CONFIG_UNREAD);
         }
-        self.step(Input::Fetched { asked, result });
+        self.step(Input::Fetched {
+            requested_at,
+            result,
+        });
     }
 }
 
--- a/src/leave.rs
+++ b/src/leave.rs
@@ -46,7 +46,8 @@
     Started,
     /// SIGTERM, the first SIGINT, or an operator's Drain.
     Stop,
-    /// A second SIGINT: shut down without waiting.
+    /// A second SIGINT, sent by an operator at a terminal: shut down without
+    /// waiting.
     ForceStop,
     /// Time has passed; this work is outstanding.
     Tick(Work),
--- a/src/locate.rs
+++ b/src/locate.rs
@@ -59,44 +59,44 @@
 
 /// Returns up to `count` addresses for a caller in `zone`.
 ///
-/// An empty or unknown zone is replaced by the zone of the answering node,
-/// `here`, since the caller reached that node. `ticket` is a different number for
-/// each request; equal numbers get equal answers.
+/// An empty or unknown zone is replaced by `local_zone`, the zone of the
+/// answering node, since the caller reached that node. `seed` is a different
+/// number for each request; equal seeds get equal answers.
 ///
 /// # Errors
 /// [`Reason::NotReady`] if every node is leaving or dead.
 pub fn locate(
     view: &View,
-    here: &str,
+    local_zone: &str,
     zone: &str,
     count: usize,
-    ticket: u64,
+    seed: u64,
 ) -> Result<Answer, Refusal> {
     let known = view.members.iter().any(|member| &*member.zone == zone);
-    let zone = if known { zone } else { here };
-    let mut candidates = candidates(view, zone, ticket);
+    let zone = if known { zone } else { local_zone };
+    let mut candidates = candidates(view, zone, seed);
     if candidates.is_empty() {
         return Err(Refusal::new(Reason::NotReady).after(RETRY_DELAY));
     }
-    let local = stays_local(view, &candidates, zone, ticket);
+    let local = prefers_local_zone(view, &candidates, zone, seed);
     candidates.sort_by(|a, b| compare_candidates(a, b, local));
     let count = if count == 0 { DEFAULT_COUNT } else { count };
     let selected = select(&candidates, count.min(MAX_COUNT));
     Ok(Answer {
         addresses: selected.iter().map(|c| c.member.address.clone()).collect(),
-        ttl: jittered_ttl(ticket),
+        ttl: jittered_ttl(seed),
     })
 }
 
 /// Returns the nodes that may be selected: the live ones or, if there are none,
 /// the suspect ones.
-fn candidates<'a>(view: &'a View, zone: &str, ticket: u64) -> Vec<Candidate<'a>> {
+fn candidates<'a>(view: &'a View, zone: &str, seed: u64) -> Vec<Candidate<'a>> {
     let of = |state| {
         let members = view.members.iter().filter(move |m| m.state == state);
         members.map(|member| Candidate {
             member,
             distance: distance(&member.zone, zone),
-            score: xxh3_64_with_seed(member.name.as_bytes(), ticket),
+            score: xxh3_64_with_seed(member.name.as_bytes(), seed),
         })
     };
     let alive: Vec<Candidate<'_>> = of(State::Alive).collect();
@@ -122,7 +122,7 @@
 /// When most nodes of a zone are lost, the remaining ones would get all callers
 /// of the zone and become overloaded too. This would show as refusals there while
 /// other zones are idle.
-fn stays_local(view: &View, candidates: &[Candidate<'_>], zone: &str, ticket: u64) -> bool {
+fn prefers_local_zone(view: &View, candidates: &[Candidate<'_>], zone: &str, seed: u64) -> bool {
     let near = candidates
         .iter()
         .filter(|c| c.distance <= Distance::Region)
@@ -144,7 +144,7 @@
     }
     // Assumes that callers are spread evenly over the zones of the region.
     let percent = MAX_SHARE_PERCENT * own * zones.len() as u64 / near;
-    percent >= 100 || xxh3_64_with_seed(zone.as_bytes(), !ticket) % 100 < percent
+    percent >= 100 || xxh3_64_with_seed(zone.as_bytes(), !seed) % 100 < percent
 }
 
 fn compare_candidates(a: &Candidate<'_>, b: &Candidate<'_>, local: bool) -> Ordering {
@@ -179,8 +179,8 @@
 /// Returns [`ADDRESS_TTL`] reduced by up to a fifth, so that callers that called
 /// at the same moment, such as after a failure, do not all call again at the same
 /// moment.
-fn jittered_ttl(ticket: u64) -> Duration {
+fn jittered_ttl(seed: u64) -> Duration {
     let fifth = u64::try_from(ADDRESS_TTL.as_millis() / 5).unwrap_or_default();
-    let less = xxh3_64_with_seed(b"keep", ticket) % (fifth + 1);
+    let less = xxh3_64_with_seed(b"keep", seed) % (fifth + 1);
     ADDRESS_TTL.saturating_sub(Duration::from_millis(less))
 }
--- a/src/member.rs
+++ b/src/member.rs
@@ -90,9 +90,9 @@
     }
 
     /// Returns the number of live members that rank before `me` in the rendezvous
-    /// hash of `matter`, a task that a single member should handle.
-    pub fn rank(&self, matter: &str, me: &str) -> u32 {
-        let seed = xxh3_64_with_seed(matter.as_bytes(), 0);
+    /// hash of `task`, which a single member should handle.
+    pub fn rank(&self, task: &str, me: &str) -> u32 {
+        let seed = xxh3_64_with_seed(task.as_bytes(), 0);
         let score = |name: &str| xxh3_64_with_seed(name.as_bytes(), seed);
         let own = score(me);
         let before = self
--- a/src/member/broadcast.rs
+++ b/src/member/broadcast.rs
@@ -111,7 +111,7 @@
     }
 
     /// Drops suspicions and deaths, because they are too old to be passed on.
-    pub fn drop_accusations(&mut self) {
+    pub fn drop_suspicions(&mut self) {
         self.broadcasts.retain(|broadcast| {
             let Update::Record(record) = &broadcast.update else {
                 return true;
--- a/src/member/gossip.rs
+++ b/src/member/gossip.rs
@@ -328,7 +328,7 @@
 
     /// Returns the suspicion or death recorded for a member, so that it can
     /// refute it.
-    fn accusation_of(&self, name: &str) -> Vec<Update> {
+    fn suspicion_of(&self, name: &str) -> Vec<Update> {
         self.entries
             .get(name)
             .filter(|entry| matches!(entry.record.member.state, State::Suspect | State::Dead))
--- a/src/member/gossip/receive.rs
+++ b/src/member/gossip/receive.rs
@@ -49,7 +49,8 @@
         // disseminated.
         let table = matches!(body, Body::Table | Body::Hello { .. });
         // A node that was declared dead without noticing keeps sending stale
-        // suspicions. They are ignored until it has refuted its own death.
+        // suspicions. They are ignored until it has refuted its own death, which
+        // the answer below reports to it.
         let declared_dead = self.standing(&head) == Standing::Doubted && self.is_dead(&head.from);
         let mut refuted = false;
         for update in updates {
@@ -121,9 +122,9 @@
     /// next probe.
     fn learn_from_table(&mut self, now: Time, record: &Record, actions: &mut Vec<Action>) {
         let name = &record.member.name;
-        let accused = matches!(record.member.state, State::Suspect | State::Dead);
+        let suspected = matches!(record.member.state, State::Suspect | State::Dead);
         let known = self.entries.get(name);
-        if !accused || known.is_none() {
+        if !suspected || known.is_none() {
             // A joining node learns all members from tables. Only corrections of
             // known records are news to other nodes as well.
             let corrects = known.is_some();
@@ -221,7 +222,7 @@
             return;
         };
         if let Some(seq) = self.prober.add_relay(now, requester, seq, to.clone()) {
-            let first = self.accusation_of(&to);
+            let first = self.suspicion_of(&to);
             self.send(target, Body::Ping { seq, to }, first, actions);
         }
     }
--- a/src/member/gossip/schedule.rs
+++ b/src/member/gossip/schedule.rs
@@ -25,7 +25,7 @@
             return;
         }
         self.prober.reset();
-        self.broadcasts.drop_accusations();
+        self.broadcasts.drop_suspicions();
         self.last_heard = now;
         self.due.probe = now + self.tuning.probe_interval;
         for entry in self.entries.values_mut() {
@@ -85,7 +85,7 @@
             return;
         };
         let seq = self.prober.start(now, name.clone());
-        let first = self.accusation_of(&name);
+        let first = self.suspicion_of(&name);
         self.send(to, Body::Ping { seq, to: name }, first, actions);
     }
 
@@ -157,7 +157,7 @@
             if self.broadcasts.is_empty() || self.budget == 0 {
                 return;
             }
-            let first = self.accusation_of(&name);
+            let first = self.suspicion_of(&name);
             self.send(to, Body::Gossip, first, actions);
         }
     }
--- a/tests/config_check.rs
+++ b/tests/config_check.rs
@@ -111,7 +111,7 @@
 }
 
 #[gtest]
-fn document_size_of_letter() {
+fn document_size_of_expected_fleet() {
     // 690 endpoints, 950 organisations and 19 services fit well below the limit;
     // docs/design/config.md sums up the cost of reading them.
     let config = v1::Config {
@@ -132,7 +132,7 @@
             .collect(),
     };
     let bytes = row::encode(&check::document(&config).unwrap()).len();
-    println!("document of the letter's size: {bytes} bytes");
+    println!("document of the expected fleet: {bytes} bytes");
     expect_that!(bytes, lt(check::MAX_BYTES / 4));
 }
 
--- a/tests/config_follow.rs
+++ b/tests/config_follow.rs
@@ -94,7 +94,7 @@
     fleet.run(20);
     let mut served = 0;
     for _ in 0..60 {
-        let asked = fleet.now;
+        let requested_at = fleet.now;
         fleet.run(1);
         let failed = Err(Fault::Unknown);
         // Its own polls fail, so its evidence can only come from peers.
@@ -103,7 +103,7 @@
         fleet.input(
             0,
             Input::Polled {
-                asked,
+                requested_at,
                 result: failed,
             },
         );
@@ -153,16 +153,30 @@
         let mut actions = vec![];
         follower.step(now, Input::Tick, &mut actions);
         for action in actions {
-            let asked = now;
+            let requested_at = now;
             if action == Action::Poll {
                 polls += 1;
                 let version = 1;
                 let result = Ok(Some(Pointer { version, change: 0 }));
-                follower.step(now, Input::Polled { asked, result }, &mut Vec::new());
+                follower.step(
+                    now,
+                    Input::Polled {
+                        requested_at,
+                        result,
+                    },
+                    &mut Vec::new(),
+                );
             } else if action == Action::Fetch {
                 fetches += 1;
                 let result = Ok(Some(document(1)));
-                follower.step(now, Input::Fetched { asked, result }, &mut Vec::new());
+                follower.step(
+                    now,
+                    Input::Fetched {
+                        requested_at,
+                        result,
+                    },
+                    &mut Vec::new(),
+                );
             }
         }
     }
--- a/tests/config_follow/fleet.rs
+++ b/tests/config_follow/fleet.rs
@@ -21,7 +21,7 @@
 /// A message in transit to a node.
 pub enum Message {
     Input(Input),
-    Ask { from: usize, asked: Time },
+    Ask { from: usize, requested_at: Time },
     FetchFrom { from: usize },
     Announced { version: u64, began: Time },
 }
@@ -156,14 +156,14 @@
         let version = force.document.version;
         assert!(
             version >= node.applied,
-            "n{at} went back to version {version}"
+            "n{at} returned to version {version}"
         );
         node.applied = version;
         if let Some(superseded) = self.commits.get(usize::try_from(version).unwrap()) {
             let late = now.since(*superseded);
             assert!(
                 late <= EVIDENCE_TTL,
-                "n{at} acted by version {version} {late:?} too late"
+                "n{at} applied version {version} {late:?} after it was superseded"
             );
         }
     }
@@ -171,12 +171,12 @@
     pub fn receive(&mut self, at: usize, message: Message) {
         match message {
             Message::Input(input) => self.input(at, input),
-            Message::Ask { from, asked } => {
+            Message::Ask { from, requested_at } => {
                 let report = self.nodes[at].follower.report(self.now);
                 let peer = name(at);
                 let answer = Input::Answered {
                     peer,
-                    asked,
+                    requested_at,
                     report,
                 };
                 self.send_to_peer(at, from, Message::Input(answer));
@@ -206,7 +206,7 @@
     pub fn input(&mut self, at: usize, input: Input) {
         let mut actions = Vec::new();
         self.nodes[at].follower.step(self.now, input, &mut actions);
-        let asked = self.now;
+        let requested_at = self.now;
         for action in actions {
             match action {
                 Action::Publish(_) => {}
@@ -214,14 +214,33 @@
                     let result = self
                         .table(at)
                         .map(|version| Some(Pointer { version, change: 0 }));
-                    self.send(at, Message::Input(Input::Polled { asked, result }));
+                    self.send(
+                        at,
+                        Message::Input(Input::Polled {
+                            requested_at,
+                            result,
+                        }),
+                    );
                 }
                 Action::Fetch => {
                     let result = self.table(at).map(|version| Some(document(version)));
-                    self.send(at, Message::Input(Input::Fetched { asked, result }));
+                    self.send(
+                        at,
+                        Message::Input(Input::Fetched {
+                            requested_at,
+                            result,
+                        }),
+                    );
                 }
                 Action::Query(peer) => {
-                    self.send_to_peer(at, index(&peer), Message::Ask { from: at, asked });
+                    self.send_to_peer(
+                        at,
+                        index(&peer),
+                        Message::Ask {
+                            from: at,
+                            requested_at,
+                        },
+                    );
                 }
                 Action::FetchFrom(peer) => {
                     self.send_to_peer(at, index(&peer), Message::FetchFrom { from: at });
@@ -268,10 +287,13 @@
         if known && current {
             self.commits.push(self.now);
             let document = document(change.version);
-            let asked = change.began;
+            let requested_at = change.began;
             self.send(
                 change.node,
-                Message::Input(Input::Committed { asked, document }),
+                Message::Input(Input::Committed {
+                    requested_at,
+                    document,
+                }),
             );
         }
     }
