--- a/benches/route.rs
+++ b/benches/route.rs
@@ -1,6 +1,6 @@
-//! Processor time of a choice, from today's size to the one designed for.
+//! CPU time of selecting an endpoint, from the current fleet size up to the design size.
 
-#![allow(missing_docs)] // The group that the macro makes has none.
+#![allow(missing_docs)] // `criterion_group!` generates undocumented items.
 
 use std::hint::black_box;
 
@@ -29,7 +29,7 @@
     router
 }
 
-/// One request's share of the router: choice, sending, first token, end.
+/// The router's work for one request: choice, send, first token and end.
 fn request(router: &mut Router, id: u64, blocks: &[u64]) {
     let now = Time::from_micros(id * 100);
     let query = Query {
--- a/src/route.rs
+++ b/src/route.rs
@@ -1,8 +1,9 @@
-//! Which node admits to an endpoint, and which endpoint a request goes to.
+//! Selection of the node that dispatches to an endpoint, and of the endpoint that
+//! serves a request.
 //!
-//! The first is a pure function of the members, so that every gateway finds
-//! the same dispatcher without asking anybody. The second weighs loads that
-//! came back with answers. docs/design/routing.md compares the ways weighed.
+//! The first is a pure function of the members, so that all gateways find the same
+//! dispatcher without communication. The second uses the loads that answers carry.
+//! docs/design/routing.md compares the alternatives.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -16,23 +17,23 @@
 pub use outlier::{Cause, Verdict};
 pub use router::{Choice, Query, Router, Target};
 
-/// The node whose queue stands before `endpoint`, or none when no member is
-/// usable.
+/// Returns the node whose queue admits requests to `endpoint`, or `None` when no
+/// member is usable.
 ///
-/// Rendezvous hashing: each endpoint ranks the members on its own, so that a
-/// member that goes moves its own endpoints and no others. Members in the
-/// endpoint's zone go before all others, because an answer streams through
-/// the dispatcher and the way between zones is longer.
+/// Rendezvous hashing ranks the members for each endpoint independently, so that
+/// the loss of a member moves only its own endpoints. Members in the endpoint's
+/// zone are preferred, because answers stream through the dispatcher and latency
+/// between zones is higher.
 pub fn dispatcher<'a>(view: &'a View, endpoint: &str, zone: &str) -> Option<&'a Member> {
     dispatcher_excluding(view, endpoint, zone, |_| false)
 }
 
-/// The same, passing over the members for which `avoid` is true.
+/// Like [`dispatcher`], but skips members for which `avoid` is true.
 ///
-/// What goes wrong without it: a dispatcher dies, and until the members know
-/// it seconds later every question for its endpoints fails. A gateway that has
-/// just lost its link to a node goes to the endpoint's next one at once. Two
-/// dispatchers before one endpoint for a moment cost latency, nothing else.
+/// Without it, when a dispatcher crashes, all requests to its endpoints fail until
+/// the membership reflects the crash seconds later. A gateway that has just lost
+/// its link to a node uses the endpoint's next one at once. Two dispatchers for one
+/// endpoint for a short time only cost latency.
 pub fn dispatcher_excluding<'a, A>(
     view: &'a View,
     endpoint: &str,
--- a/src/route/outlier.rs
+++ b/src/route/outlier.rs
@@ -1,52 +1,54 @@
-//! Endpoints that do worse than their peers, found from our own traffic.
+//! Outlier detection: finds endpoints that perform worse than their peers, from
+//! regular traffic.
 //!
-//! A health check says that a process answers, not that it generates. What
-//! goes wrong otherwise: a stuck or slow endpoint keeps its share of questions,
-//! and each of them waits until its deadline. One notices by the tail of the
-//! first-token time rising by that share.
+//! A health check shows that a process answers, not that it generates tokens.
+//! Without outlier detection, a stalled or slow endpoint keeps its share of online
+//! requests, and each of them waits until its deadline. This shows in the tail of
+//! the time to the first token.
 
 use std::time::Duration;
 
 use crate::clock::Time;
 
-/// Failures one after the other that eject an endpoint.
-const FAILURES_IN_A_ROW: u32 = 3;
-/// Answers before an endpoint's mean counts.
-const SAMPLES: u32 = 6;
-/// How many times slower than its peers an endpoint may be.
+/// Consecutive failures after which an endpoint is ejected.
+const MAX_CONSECUTIVE_FAILURES: u32 = 3;
+/// Minimum number of answers before an endpoint's mean is used.
+const MIN_SAMPLES: u32 = 6;
+/// Factor by which an endpoint may be slower than its peers.
 const SLOW_FACTOR: f64 = 2.5;
-/// What an endpoint may be slower than its peers in any case.
+/// Margin by which an endpoint may always be slower than its peers.
 const SLOW_MARGIN: Duration = Duration::from_millis(100);
-/// Share of a new sample in the mean.
+/// Weight of a new sample in the moving average.
 const GAIN: f64 = 0.2;
-/// No first token for this long, while questions wait, means stuck.
-const STUCK: Duration = Duration::from_millis(1_500);
-/// First time that an ejected endpoint is left alone; doubles each time.
-const EJECTION: Duration = Duration::from_secs(3);
-/// Longest time that an ejected endpoint is left alone.
+/// Time without a first token after which an endpoint with waiting requests counts as
+/// stalled.
+const STALL_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Initial duration of an ejection; doubles each time.
+const INITIAL_EJECTION: Duration = Duration::from_secs(3);
+/// Maximum duration of an ejection.
 const MAX_EJECTION: Duration = Duration::from_secs(48);
 
-/// How an attempt at an endpoint went.
+/// Result of an attempt at an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It answered.
+    /// The endpoint answered.
     Good,
-    /// It was full and said so; no sign of illness.
+    /// The endpoint reported that it is full, which is not a fault.
     Full,
-    /// It failed, broke off or can't be reached.
+    /// The endpoint failed, truncated its answer or was unreachable.
     Failed,
-    /// The requester went away; says nothing of the endpoint.
+    /// The requester disconnected, which proves nothing about the endpoint.
     Withdrawn,
 }
 
 /// Why an endpoint was ejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// It fails.
+    /// Consecutive attempts failed.
     Failing,
-    /// Its first tokens come much later than its peers'.
+    /// Its first tokens take much longer than those of its peers.
     Slow,
-    /// Questions wait there and no first token comes.
+    /// Requests wait for a first token that does not arrive.
     Stuck,
 }
 
@@ -57,59 +59,60 @@
     Probing { since: Time },
 }
 
-/// What is known of one endpoint's health.
+/// Health of one endpoint.
 #[derive(Clone, Debug)]
-pub struct Record {
+pub struct Health {
     state: State,
-    times: u32,
+    ejections: u32,
     failures: u32,
     samples: u32,
     mean_us: f64,
-    last_good: Time,
+    last_answer: Time,
 }
 
-impl Default for Record {
+impl Default for Health {
     fn default() -> Self {
         Self {
             state: State::Healthy,
-            times: 0,
+            ejections: 0,
             failures: 0,
             samples: 0,
             mean_us: 0.0,
-            last_good: Time::ZERO,
+            last_answer: Time::ZERO,
         }
     }
 }
 
-impl Record {
-    /// True when it gets its share of traffic.
+impl Health {
+    /// True when the endpoint gets regular traffic.
     pub fn is_healthy(&self) -> bool {
         self.state == State::Healthy
     }
 
-    /// True when one request should be sent to see whether it has recovered.
+    /// True when a request should probe whether the endpoint has recovered.
     pub fn wants_probe(&self, now: Time) -> bool {
         match self.state {
             State::Healthy => false,
             State::Ejected { until } => now >= until,
-            // The probe itself got lost.
+            // The previous probe was lost.
             State::Probing { since } => now.since(since) >= MAX_EJECTION,
         }
     }
 
-    /// A probe is under way.
-    pub fn probe(&mut self, now: Time) {
+    /// Records that a probe was sent.
+    pub fn start_probe(&mut self, now: Time) {
         self.state = State::Probing { since: now };
     }
 
-    /// Mean first-token time in microseconds, once enough is known.
+    /// Mean time to the first token in microseconds, or `None` while there are too few
+    /// samples.
     pub fn mean_us(&self) -> Option<f64> {
-        (self.samples >= SAMPLES).then_some(self.mean_us)
+        (self.samples >= MIN_SAMPLES).then_some(self.mean_us)
     }
 
-    /// A first token came.
-    pub fn first_token(&mut self, now: Time, took: Duration, peers_us: Option<f64>) {
-        self.last_good = now;
+    /// Records a first token.
+    pub fn record_first_token(&mut self, now: Time, took: Duration, peers_us: Option<f64>) {
+        self.last_answer = now;
         self.failures = 0;
         let micros = took.as_secs_f64() * 1e6;
         if matches!(self.state, State::Probing { .. }) {
@@ -124,49 +127,54 @@
         self.mean_us += gain * (micros - self.mean_us);
     }
 
-    /// An attempt failed.
-    pub fn fail(&mut self, now: Time) {
+    /// Records a failed attempt.
+    pub fn record_failure(&mut self, now: Time) {
         self.failures += 1;
         if !self.is_healthy() {
             self.eject(now);
         }
     }
 
-    /// An attempt ended without telling anything; a probe is due again.
-    pub fn unclear(&mut self, now: Time) {
+    /// Makes a probe due again after an attempt that proved nothing.
+    pub fn reprobe(&mut self, now: Time) {
         if matches!(self.state, State::Probing { .. }) {
             self.state = State::Ejected { until: now };
         }
     }
 
-    /// What is wrong with it, seen against its peers' median first-token time
-    /// and the oldest question that waits there.
-    pub fn fault(&self, now: Time, peers_us: Option<f64>, oldest: Option<Time>) -> Option<Cause> {
-        if self.failures >= FAILURES_IN_A_ROW {
+    /// Returns the cause if the endpoint should be ejected, given its peers' median time
+    /// to the first token and when its oldest waiting request was sent.
+    pub fn detect_fault(
+        &self,
+        now: Time,
+        peers_us: Option<f64>,
+        oldest: Option<Time>,
+    ) -> Option<Cause> {
+        if self.failures >= MAX_CONSECUTIVE_FAILURES {
             return Some(Cause::Failing);
         }
-        let bound = stuck_after(peers_us);
-        if oldest.is_some_and(|sent| now.since(sent.max(self.last_good)) >= bound) {
+        let bound = stall_timeout(peers_us);
+        if oldest.is_some_and(|sent| now.since(sent.max(self.last_answer)) >= bound) {
             return Some(Cause::Stuck);
         }
         let slow = self.mean_us().is_some_and(|mean| is_slow(mean, peers_us));
         slow.then_some(Cause::Slow)
     }
 
-    /// Takes it out of the choice for a while that doubles each time.
+    /// Ejects the endpoint, for twice as long each time.
     pub fn eject(&mut self, now: Time) {
-        let wait = EJECTION * 2_u32.saturating_pow(self.times);
+        let wait = INITIAL_EJECTION * 2_u32.saturating_pow(self.ejections);
         self.state = State::Ejected {
             until: now + wait.min(MAX_EJECTION),
         };
-        self.times = (self.times + 1).min(8);
+        self.ejections = (self.ejections + 1).min(8);
         self.samples = 0;
         self.failures = 0;
     }
 
     fn restore(&mut self) {
         self.state = State::Healthy;
-        self.times = self.times.saturating_sub(1);
+        self.ejections = self.ejections.saturating_sub(1);
         self.samples = 0;
     }
 }
@@ -176,7 +184,7 @@
     peers_us.is_some_and(|peers| micros > (peers * SLOW_FACTOR).max(peers + margin))
 }
 
-fn stuck_after(peers_us: Option<f64>) -> Duration {
+fn stall_timeout(peers_us: Option<f64>) -> Duration {
     let slow = peers_us.unwrap_or(0.0) * 2.0 * SLOW_FACTOR;
-    STUCK.max(Duration::from_secs_f64(slow / 1e6))
+    STALL_TIMEOUT.max(Duration::from_secs_f64(slow / 1e6))
 }
--- a/src/route/prefix.rs
+++ b/src/route/prefix.rs
@@ -1,15 +1,16 @@
-//! Which endpoints probably hold the beginning of a prompt.
+//! Index of the endpoints that probably have a prompt's prefix in their cache.
 //!
-//! Fed by cache events, which come late and with gaps, and by our own choices.
-//! A wrong guess costs a prefill and nothing else, so nothing here is checked.
+//! It is updated from cache events, which are late and incomplete, and from this
+//! gateway's own choices. A wrong entry only costs a prefill, so entries are not
+//! verified.
 
 use std::collections::{HashMap, VecDeque};
 
-/// Blocks that are remembered over all endpoints.
-const CAPACITY: usize = 200_000;
-/// Endpoints that are remembered for one block. A block that more hold is taken
-/// to be everywhere, as the beginning of every prompt of a service is.
-const HOLDERS: usize = 24;
+/// Maximum number of indexed blocks over all endpoints.
+const MAX_BLOCKS: usize = 200_000;
+/// Maximum number of endpoints stored per block. A block with more holders, such as the
+/// common beginning of a service's prompts, counts as cached everywhere.
+const MAX_HOLDERS: usize = 24;
 
 /// Blocks and their last known holders.
 #[derive(Debug, Default)]
@@ -19,7 +20,7 @@
 }
 
 impl Index {
-    /// `endpoint` holds `block`.
+    /// Records that `endpoint` holds `block`.
     pub fn store(&mut self, block: u64, endpoint: u32) {
         let holders = self.holders.entry(block).or_default();
         if holders.is_empty() {
@@ -28,44 +29,43 @@
         if holders.contains(&endpoint) {
             return;
         }
-        if holders.len() <= HOLDERS {
+        if holders.len() <= MAX_HOLDERS {
             holders.push(endpoint);
         }
-        if self.order.len() > CAPACITY
+        if self.order.len() > MAX_BLOCKS
             && let Some(oldest) = self.order.pop_front()
         {
             self.holders.remove(&oldest);
         }
     }
 
-    /// `endpoint` no longer holds `block`.
+    /// Records that `endpoint` has evicted `block`.
     pub fn evict(&mut self, block: u64, endpoint: u32) {
         if let Some(holders) = self.holders.get_mut(&block)
-            && holders.len() <= HOLDERS
+            && holders.len() <= MAX_HOLDERS
         {
             holders.retain(|holder| *holder != endpoint);
         }
     }
 
-    /// The endpoint with the longest known prefix of `blocks`, and its length.
+    /// Returns the endpoint with the longest known prefix of `blocks`, and its length.
     pub fn longest(&self, blocks: &[u64]) -> Option<(u32, usize)> {
-        // An event lost in the middle must not hide the blocks after it, so
-        // the search begins at the end.
+        // Search from the end, so that a lost event does not hide the blocks after it.
         blocks.iter().enumerate().rev().find_map(|(at, block)| {
             let holders = self.holders.get(block)?;
             let endpoint = *holders.last()?;
-            (holders.len() <= HOLDERS).then_some((endpoint, at + 1))
+            (holders.len() <= MAX_HOLDERS).then_some((endpoint, at + 1))
         })
     }
 
-    /// How many leading blocks `endpoint` probably holds.
-    pub fn held(&self, blocks: &[u64], endpoint: u32) -> usize {
+    /// Returns how many leading blocks `endpoint` probably holds.
+    pub fn cached_blocks(&self, blocks: &[u64], endpoint: u32) -> usize {
         blocks
             .iter()
             .rposition(|block| {
                 self.holders
                     .get(block)
-                    .is_some_and(|holders| holders.len() > HOLDERS || holders.contains(&endpoint))
+                    .is_some_and(|known| known.len() > MAX_HOLDERS || known.contains(&endpoint))
             })
             .map_or(0, |at| at + 1)
     }
--- a/tests/route_dispatcher.rs
+++ b/tests/route_dispatcher.rs
@@ -1,4 +1,4 @@
-//! Which node admits to an endpoint.
+//! Selection of the node that dispatches to an endpoint.
 
 use std::collections::BTreeMap;
 
@@ -50,8 +50,8 @@
 
 #[gtest]
 fn dispatcher_member_lost() {
-    // A node goes away. Were the endpoints of other nodes to move as well, each
-    // loss would restart the queues of the whole fleet.
+    // The loss of a node must move only its own endpoints. Otherwise each loss would
+    // reset the queues of the whole fleet.
     let before = view(330);
     let mut after = before.clone();
     let gone = after.members[7].name.to_string();
@@ -67,7 +67,7 @@
 
 #[gtest]
 fn dispatcher_zone_lost() {
-    // Every node of a zone is gone; its endpoints are still admitted to.
+    // The endpoints of a zone without nodes still have a dispatcher.
     let mut view = view(12);
     for member in view.members.iter_mut().filter(|m| &*m.zone == "a") {
         member.state = State::Dead;
--- a/tests/route_router.rs
+++ b/tests/route_router.rs
@@ -1,4 +1,4 @@
-//! The choice of an endpoint at a gateway.
+//! Selection of an endpoint at a gateway.
 
 use std::collections::BTreeMap;
 
@@ -29,8 +29,8 @@
     }
 }
 
-/// Sends a question each 10 ms; `millis` tells how long the endpoint takes to
-/// its first token, none for never. Returns how often each was chosen.
+/// Sends a request every 10 ms. `millis` returns an endpoint's time to the first token,
+/// or `None` for never. Returns how often each endpoint was chosen.
 fn drive<F>(router: &mut Router, from: u64, count: u64, millis: F) -> BTreeMap<Name, u32>
 where
     F: Fn(&str) -> Option<u64>,
@@ -105,9 +105,9 @@
 
 #[gtest]
 fn pick_follows_prefix() {
-    // Cache events are late and some are lost: the one for the second block
-    // never came, and another endpoint holds the first. The one that holds the
-    // longest prefix is still found.
+    // Cache events are late and some are lost. Here the one for the second block is
+    // missing, and another endpoint holds the first block. The endpoint with the longest
+    // prefix must still be found.
     let mut router = router(9);
     let blocks: Vec<u64> = (100..140).collect();
     for block in blocks.iter().filter(|block| **block != 101) {
@@ -124,8 +124,8 @@
 
 #[gtest]
 fn eject_slow() {
-    // One endpoint takes ten times as long as its peers and answers every
-    // health check. Questions sent there would be late for as long as it lives.
+    // One endpoint takes ten times as long as its peers but passes every health check.
+    // Without ejection, all requests sent there would be late.
     let mut router = router(9);
     let slow = |name: &str| Some(if name == "e2" { 600 } else { 60 });
     drive(&mut router, 1_000, 2_000, slow);
@@ -138,12 +138,12 @@
 }
 
 #[gtest]
-fn eject_stuck() {
-    // One endpoint takes requests and never answers, while its health check
-    // says that all is well. Callers would wait until their deadline.
+fn eject_stalled() {
+    // One endpoint accepts requests and never answers, but passes its health check.
+    // Without ejection, callers would wait until their deadline.
     let mut router = router(9);
-    let stuck = |name: &str| (name != "e5").then_some(60);
-    drive(&mut router, 1_000, 600, stuck);
+    let stalled = |name: &str| (name != "e5").then_some(60);
+    drive(&mut router, 1_000, 600, stalled);
     expect_that!(
         router.take_ejections(),
         contains(eq(&("e5".into(), Cause::Stuck)))
@@ -153,8 +153,8 @@
 
 #[gtest]
 fn eject_bounded() {
-    // Every endpoint turns bad at once, as when the network does. Ejecting them
-    // all would leave nothing to answer.
+    // All endpoints become unhealthy at once, as in a network fault. Ejecting all of
+    // them would leave none to answer.
     let mut router = router(9);
     drive(&mut router, 1_000, 1_000, |_| None);
     let healthy = (0..9).filter(|at| router.is_healthy(&format!("e{at}")));
@@ -163,8 +163,8 @@
 
 #[gtest]
 fn eject_then_restore() {
-    // An endpoint fails three times, is left alone, and has recovered when one
-    // question probes it.
+    // An endpoint fails three times, is ejected, and has recovered when a request probes
+    // it.
     let mut router = router(9);
     let mut now = Time::from_millis(1_000);
     for id in 0..3 {
@@ -181,8 +181,8 @@
 
 #[gtest]
 fn pack_leaves_endpoints_free() {
-    // Few questions come. Spread over all endpoints they would slow, and be
-    // slowed by, the batch work of each of them.
+    // With few online requests, spreading them over all endpoints would slow down both
+    // them and the batch work of every endpoint.
     let mut router = router(9);
     router.set_latency_weight(SERVICE, 80);
     for at in 0..9 {
@@ -199,8 +199,8 @@
 
 #[gtest]
 fn pack_grows_at_once() {
-    // A burst crowds the packed endpoints. The loads that come back with first
-    // tokens must widen the choice before they do.
+    // A burst crowds the packed endpoints. A load that arrives with a first token must
+    // increase their number at the next review.
     let mut router = router(9);
     router.set_latency_weight(SERVICE, 80);
     let now = Time::from_millis(1_000);
