--- a/src/batch/run.rs
+++ b/src/batch/run.rs
@@ -162,11 +162,11 @@
         Ok(Err(_)) => return Exit::Interrupted(End::Error, "broken_before_head"),
         Err(_) => return Exit::Interrupted(End::Error, "silent_before_head"),
     };
-    match forward::verdict(&response, &forward.id) {
+    match forward::classify(&response, &forward.id) {
         Verdict::Full => return Exit::Interrupted(End::Full, "full"),
-        Verdict::Elsewhere => return Exit::Interrupted(End::Failed, "elsewhere"),
-        Verdict::Foreign => return Exit::Interrupted(End::Error, "foreign_answer"),
-        Verdict::Impossible => return Exit::Impossible,
+        Verdict::Misdirected => return Exit::Interrupted(End::Failed, "elsewhere"),
+        Verdict::Unverified => return Exit::Interrupted(End::Error, "foreign_answer"),
+        Verdict::Unprocessable => return Exit::Impossible,
         Verdict::Failed if response.status() == StatusCode::INTERNAL_SERVER_ERROR => {
             return Exit::Failed;
         }
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -26,7 +26,7 @@
 pub(super) fn run(matches: &ArgMatches, out: Output) -> Result<Exit> {
     let path: &PathBuf = matches.get_one("file").expect("clap requires the file");
     let text = remote::read(path)?;
-    let checked = if platform::settings::is_meant(&text) {
+    let checked = if platform::settings::is_platform_format(&text) {
         platform::settings::parse(&text).map(drop)
     } else {
         Settings::parse(&text).map(drop)
--- a/src/edge.rs
+++ b/src/edge.rs
@@ -169,7 +169,7 @@
         incarnation: unix_millis(),
         state: State::Alive,
         config_version: 0,
-        power: site.power,
+        power: site.cpu_millicores,
     };
     let counts = Counts::default();
     let shared = Shared {
@@ -400,7 +400,7 @@
             clock: shared.clock,
             store: Client::new(shared.site.store.address),
             row_bytes: shared.site.store.row_bytes,
-            result_retention: shared.site.bounds.results,
+            result_retention: shared.site.bounds.result_retention,
             broker: Rc::clone(&desk),
             detector: Rc::clone(&ward),
             catalog: Arc::clone(&shared.catalog),
--- a/src/edge/directory.rs
+++ b/src/edge/directory.rs
@@ -7,7 +7,7 @@
 
 use crate::member::{Member, State, View};
 use crate::name::Name;
-use crate::platform::call::Place;
+use crate::platform::call::Location;
 
 /// Largest number of addresses in one answer.
 const MAX_ADDRESSES: usize = 64;
@@ -17,7 +17,7 @@
 pub fn addresses(
     view: &View,
     regions: &BTreeMap<Name, Name>,
-    place: &Place,
+    place: &Location,
     without: Option<&str>,
 ) -> Vec<Name> {
     let mut members: Vec<&Member> = view
--- a/src/edge/front.rs
+++ b/src/edge/front.rs
@@ -32,7 +32,7 @@
 use crate::identity::{self, Credential, Denial};
 use crate::leave::Phase;
 use crate::name::Name;
-use crate::platform::call::{self, Call, Place};
+use crate::platform::call::{self, Call, Location};
 use crate::platform::forward::{self, Forward};
 use crate::platform::organisation;
 use crate::quarantine::Fingerprint;
@@ -114,26 +114,26 @@
     let mut response = match call::decode(&parts) {
         Call::Ready => ready(&node).map(Body::from),
         Call::Resolve(place) => resolve(&node, &place).map(Body::from),
-        Call::Wrong(status, why) => call::error(status, why).map(Body::from),
-        Call::Read { job, after, wait } => match reader(&node, arrived, &parts) {
+        Call::Invalid(status, why) => call::error(status, why).map(Body::from),
+        Call::ReadResults { job, after, wait } => match reader(&node, arrived, &parts) {
             Err(refusal) => *refusal,
             Ok(reader) => {
                 let read = node.jobs.read(&reader, &job, after, wait).await;
                 read.map(Body::from)
             }
         },
-        Call::Body { job, item } => match reader(&node, arrived, &parts) {
+        Call::ReadItemBody { job, item } => match reader(&node, arrived, &parts) {
             Err(refusal) => *refusal,
             Ok(reader) => node.jobs.body(&reader, &job, &item).await.map(Body::from),
         },
-        Call::End { job } => match reader(&node, arrived, &parts) {
+        Call::EndJob { job } => match reader(&node, arrived, &parts) {
             Err(refusal) => *refusal,
             Ok(reader) => node.jobs.end(&reader, &job).await.map(Body::from),
         },
         Call::Route { host } => serve_route(&node, arrived, &host, parts, body).await,
     };
     if node.is_leaving() {
-        call::close(response.headers_mut());
+        call::close_connection(response.headers_mut());
     }
     response
 }
@@ -179,7 +179,7 @@
     public: bool,
     credential: &Credential,
 ) -> Result<Option<Arc<Organisation>>, Denial> {
-    let revoke = node.site.bounds.revoke;
+    let revoke = node.site.bounds.max_revocation_delay;
     identity::identify(catalog, Uptime::now(), revoke, public, credential)
 }
 
@@ -217,7 +217,7 @@
 }
 
 /// Answers a directory request with the addresses to connect to.
-fn resolve(node: &Node, place: &Place) -> Response<Bytes> {
+fn resolve(node: &Node, place: &Location) -> Response<Bytes> {
     let own = node.site.listen.callers.to_string();
     // A node that accepts no keys could only redirect callers, so it omits its own address.
     let is_unusable = node.is_leaving() || !node.accepts_keys();
@@ -238,7 +238,7 @@
     mut parts: Parts,
     body: Incoming,
 ) -> Response<Body> {
-    let id = call::attempt(&parts.headers);
+    let id = call::request_id(&parts.headers);
     let credential = organisation::credential(&parts.headers);
     let reject = |why: &str, response: Response<Bytes>| {
         log_rejected(node, arrived, id.as_ref(), &parts, why, response.status());
@@ -268,7 +268,7 @@
     }
     let Some(id) = id.clone() else {
         node.count.refuse("no_id");
-        let why = "the request has no id; set the x-attempt-id header";
+        let why = "the request has no id; set the header that carries its id";
         return reject("no_id", call::error(StatusCode::BAD_REQUEST, why));
     };
     let organisation = match identify(node, &catalog, route.public, &credential) {
@@ -288,7 +288,7 @@
         return submitted.map(Body::from);
     }
     if config.keyring.is_some() {
-        organisation::hide(&mut parts.headers);
+        organisation::remove_credential(&mut parts.headers);
     }
     let request = Accepted {
         route,
@@ -357,11 +357,11 @@
     };
     let mut headers = parts.headers;
     let timeout = call::timeout(&headers);
-    let last_event = call::last_event(&headers);
+    let last_event = call::last_event_id(&headers);
     let prefix = call::shared_prefix(&headers).map_or(0, hash);
-    forward::strip(&mut headers);
+    forward::strip_hop_by_hop(&mut headers);
     let name = organisation.as_ref().map(|it| &*it.name);
-    organisation::name(&mut headers, name);
+    organisation::set_header(&mut headers, name);
     let path = parts
         .uri
         .path_and_query()
--- a/src/edge/node.rs
+++ b/src/edge/node.rs
@@ -49,7 +49,12 @@
             .config
             .as_ref()
             .is_some_and(|it| it.keyring.is_some());
-        !keyed || identity::is_fresh(&catalog, Uptime::now(), self.site.bounds.revoke)
+        !keyed
+            || identity::is_fresh(
+                &catalog,
+                Uptime::now(),
+                self.site.bounds.max_revocation_delay,
+            )
     }
 
     /// True once the node has begun to shut down.
--- a/src/edge/relay.rs
+++ b/src/edge/relay.rs
@@ -272,12 +272,12 @@
             }
             Err(_) => return self.timed_out("silent_before_head"),
         };
-        match forward::verdict(&response, &self.call.forward.id) {
+        match forward::classify(&response, &self.call.forward.id) {
             Verdict::Full => Ended::Failed(Failure::NotRun, End::Full, "full"),
-            Verdict::Elsewhere => Ended::Failed(Failure::NotRun, End::Failed, "elsewhere"),
-            Verdict::Foreign => Ended::Failed(Failure::Lost, End::Error, "foreign_answer"),
+            Verdict::Misdirected => Ended::Failed(Failure::NotRun, End::Failed, "elsewhere"),
+            Verdict::Unverified => Ended::Failed(Failure::Lost, End::Error, "foreign_answer"),
             Verdict::Failed => self.buffer_error(response, &conn).await,
-            Verdict::Answer | Verdict::Impossible => {
+            Verdict::Answer | Verdict::Unprocessable => {
                 self.stream_answer(permit, response, conn).await
             }
         }
@@ -436,7 +436,7 @@
 
     fn finish_head(&self, headers: &mut hyper::HeaderMap<HeaderValue>) {
         if self.node.is_leaving() {
-            call::close(headers);
+            call::close_connection(headers);
         }
     }
 
--- a/src/edge/socket.rs
+++ b/src/edge/socket.rs
@@ -27,7 +27,7 @@
             link: tcp(listen.link, "links")?,
             control: udp(listen.control, "control")?,
             pool: udp(listen.pool, "admission")?,
-            desk: udp(listen.desk, "answers about admission")?,
+            desk: udp(listen.broker, "answers about admission")?,
         })
     }
 }
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -211,7 +211,7 @@
             ),
         };
         if let Outcome::NotRun(refusal) | Outcome::MayHaveRun(refusal) = &outcome {
-            self.shared.metrics.refuse(class, refusal.reason);
+            self.shared.metrics.count_refusal(class, refusal.reason);
             log::debug!("{} {refusal}", event::REQUEST_REFUSED);
         }
         outcome
@@ -369,12 +369,16 @@
         if tried.crowded.is_some() {
             // The endpoint refused immediately because it was crowded. Trying another one costs
             // one message and happens once, so it needs no retry budget.
-            self.shared.metrics.retry(request.class, refusal.reason);
+            self.shared
+                .metrics
+                .count_retry(request.class, refusal.reason);
             return Ok(Duration::ZERO);
         }
         match retry::decide(failure, &attempt, &mut self.budget.borrow_mut()) {
             retry::Decision::Retry { wait } => {
-                self.shared.metrics.retry(request.class, refusal.reason);
+                self.shared
+                    .metrics
+                    .count_retry(request.class, refusal.reason);
                 log::debug!("{} {refusal}", event::REQUEST_RETRIED);
                 Ok(wait)
             }
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -188,9 +188,9 @@
         let took = now.since(self.last);
         self.last = now;
         if class == Class::Online && first {
-            shared.metrics.first_token(took);
+            shared.metrics.record_first_token(took);
         } else if class == Class::Online {
-            shared.metrics.between_tokens(took);
+            shared.metrics.record_between_tokens(took);
         }
         for piece in next {
             // An error means that the caller does not stream.
--- a/src/metric.rs
+++ b/src/metric.rs
@@ -79,22 +79,22 @@
     }
 
     /// Counts a refusal.
-    pub fn refuse(&self, class: Class, reason: Reason) {
+    pub fn count_refusal(&self, class: Class, reason: Reason) {
         self.refused.get_or_create(&cause(class, reason)).inc();
     }
 
     /// Counts a retry.
-    pub fn retry(&self, class: Class, reason: Reason) {
+    pub fn count_retry(&self, class: Class, reason: Reason) {
         self.retried.get_or_create(&cause(class, reason)).inc();
     }
 
     /// Records the time to a first token.
-    pub fn first_token(&self, took: Duration) {
+    pub fn record_first_token(&self, took: Duration) {
         self.first_token.observe(took.as_secs_f64());
     }
 
     /// Records the time between two pieces of an answer.
-    pub fn between_tokens(&self, took: Duration) {
+    pub fn record_between_tokens(&self, took: Duration) {
         self.between_tokens.observe(took.as_secs_f64());
     }
 
--- a/src/platform/call.rs
+++ b/src/platform/call.rs
@@ -14,13 +14,13 @@
 use crate::name::Name;
 
 /// The caller's own identity of a request or of a batch job.
-pub const ATTEMPT: HeaderName = HeaderName::from_static("x-attempt-id");
+pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-attempt-id");
 /// How many milliseconds the caller, or what is left of them, will wait.
 pub const TIMEOUT: HeaderName = HeaderName::from_static("x-timeout-ms");
 /// The parts of the prompt, the shared ones first.
 pub const PREFIX: HeaderName = HeaderName::from_static("x-prompt-prefix");
 /// The event behind which a stream goes on.
-pub const LAST_EVENT: HeaderName = HeaderName::from_static("last-event-id");
+pub const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
 /// How long a read may be kept waiting for a result.
 const WAIT: HeaderName = HeaderName::from_static("x-wait-ms");
 
@@ -37,9 +37,9 @@
     /// Does this node take callers?
     Ready,
     /// Which addresses should a caller at this place use?
-    Resolve(Place),
+    Resolve(Location),
     /// A batch job's results.
-    Read {
+    ReadResults {
         /// The job.
         job: Name,
         /// The first position wanted.
@@ -48,14 +48,14 @@
         wait: Duration,
     },
     /// The body of a batch job's item.
-    Body {
+    ReadItemBody {
         /// The job.
         job: Name,
         /// The item.
         item: Name,
     },
     /// The end of a batch job.
-    End {
+    EndJob {
         /// The job.
         job: Name,
     },
@@ -65,12 +65,12 @@
         host: Name,
     },
     /// Something that no caller may ask, with why.
-    Wrong(StatusCode, &'static str),
+    Invalid(StatusCode, &'static str),
 }
 
 /// Where a caller is.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Place {
+pub struct Location {
     /// Its region.
     pub region: Name,
     /// Its availability zone.
@@ -86,7 +86,7 @@
         (&Method::GET, RESOLVE) => {
             let mut query = query();
             let mut take = |key| Name::from(query.remove(key).unwrap_or_default());
-            Call::Resolve(Place {
+            Call::Resolve(Location {
                 region: take("region"),
                 zone: take("zone"),
             })
@@ -94,28 +94,28 @@
         (&Method::GET, _) if path.starts_with(LOTS) => {
             let after = query().remove("after").unwrap_or_else(|| "0".into());
             let Ok(after) = after.parse() else {
-                return Call::Wrong(StatusCode::BAD_REQUEST, "`after` is not a number from 0 up");
+                return Call::Invalid(StatusCode::BAD_REQUEST, "`after` is not a number from 0 up");
             };
-            Call::Read {
+            Call::ReadResults {
                 job: path[LOTS.len()..].into(),
                 after,
                 wait: millis(&parts.headers, &WAIT).unwrap_or_default(),
             }
         }
-        (&Method::DELETE, _) if path.starts_with(LOTS) => Call::End {
+        (&Method::DELETE, _) if path.starts_with(LOTS) => Call::EndJob {
             job: path[LOTS.len()..].into(),
         },
-        (&Method::GET, _) if path.starts_with(ITEMS) => Call::Body {
+        (&Method::GET, _) if path.starts_with(ITEMS) => Call::ReadItemBody {
             job: path[ITEMS.len()..].into(),
             item: query().remove("id").unwrap_or_default().into(),
         },
-        _ if path.starts_with(OWN) => Call::Wrong(
+        _ if path.starts_with(OWN) => Call::Invalid(
             StatusCode::NOT_FOUND,
             "there is no such call; check the path",
         ),
         _ => match host(parts) {
             Some(host) => Call::Route { host },
-            None => Call::Wrong(StatusCode::BAD_REQUEST, "the `Host` header is missing"),
+            None => Call::Invalid(StatusCode::BAD_REQUEST, "the `Host` header is missing"),
         },
     }
 }
@@ -144,8 +144,8 @@
 }
 
 /// The caller's identity of a request.
-pub fn attempt(headers: &HeaderMap) -> Option<Name> {
-    let value = headers.get(ATTEMPT)?.to_str().ok()?;
+pub fn request_id(headers: &HeaderMap) -> Option<Name> {
+    let value = headers.get(REQUEST_ID)?.to_str().ok()?;
     (!value.is_empty()).then(|| value.into())
 }
 
@@ -155,8 +155,14 @@
 }
 
 /// The event behind which the caller wants to go on.
-pub fn last_event(headers: &HeaderMap) -> Option<u64> {
-    headers.get(LAST_EVENT)?.to_str().ok()?.trim().parse().ok()
+pub fn last_event_id(headers: &HeaderMap) -> Option<u64> {
+    headers
+        .get(LAST_EVENT_ID)?
+        .to_str()
+        .ok()?
+        .trim()
+        .parse()
+        .ok()
 }
 
 /// The parts of the prompt that other requests share, as one text; the last
@@ -218,7 +224,7 @@
 }
 
 /// Asks the caller to open a new connection next time.
-pub fn close(headers: &mut HeaderMap) {
+pub fn close_connection(headers: &mut HeaderMap) {
     let close = hyper::header::HeaderValue::from_static("close");
     headers.insert(CONNECTION, close);
 }
--- a/src/platform/forward.rs
+++ b/src/platform/forward.rs
@@ -11,7 +11,7 @@
 };
 use hyper::{HeaderMap, Method, Request, Response, StatusCode};
 
-use super::call::{ATTEMPT, LAST_EVENT, TIMEOUT};
+use super::call::{LAST_EVENT_ID, REQUEST_ID, TIMEOUT};
 use crate::catalog::Endpoint;
 use crate::name::Name;
 
@@ -50,7 +50,7 @@
 
 /// Removes the headers that concern one connection only, those that
 /// `Connection` names among them.
-pub fn strip(headers: &mut HeaderMap) {
+pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
@@ -91,7 +91,7 @@
             headers.insert(TIMEOUT, millis.into());
         }
         if let Some(last) = last {
-            headers.insert(LAST_EVENT, last.into());
+            headers.insert(LAST_EVENT_ID, last.into());
         }
         Ok(request)
     }
@@ -117,9 +117,9 @@
             );
         }
         map.insert(HOST, HeaderValue::try_from(host)?);
-        map.insert(ATTEMPT, HeaderValue::try_from(&**id)?);
-        strip(&mut map);
-        super::organisation::name(&mut map, organisation);
+        map.insert(REQUEST_ID, HeaderValue::try_from(&**id)?);
+        strip_hop_by_hop(&mut map);
+        super::organisation::set_header(&mut map, organisation);
         // The path is checked here, so that a wrong one is found at submission.
         Request::builder().uri(path).body(())?;
         Ok(Self {
@@ -138,39 +138,39 @@
     /// It did not run the request, because it is full.
     Full,
     /// It did not run the request, because another one was meant or it leaves.
-    Elsewhere,
+    Misdirected,
     /// It belongs to another request.
-    Foreign,
+    Unverified,
     /// It ran the request and failed.
     Failed,
     /// The request can never be done.
-    Impossible,
+    Unprocessable,
     /// It answers the request.
     Answer,
 }
 
 /// Reads the head of an answer to the request `id`.
-pub fn verdict(response: &Response<Incoming>, id: &Name) -> Verdict {
+pub fn classify(response: &Response<Incoming>, id: &Name) -> Verdict {
     let headers = response.headers();
     let status = response.status();
     if status == StatusCode::MISDIRECTED_REQUEST {
-        return Verdict::Elsewhere;
+        return Verdict::Misdirected;
     }
     if headers.contains_key(NOT_RUN) {
         return Verdict::Full;
     }
     if headers
-        .get(ATTEMPT)
+        .get(REQUEST_ID)
         .is_some_and(|echo| echo.as_bytes() != id.as_bytes())
     {
-        return Verdict::Foreign;
+        return Verdict::Unverified;
     }
     if !headers.contains_key(STAMP) {
         // Nobody signed it: a broken endpoint's words are no answer.
-        return Verdict::Foreign;
+        return Verdict::Unverified;
     }
     if status == StatusCode::UNPROCESSABLE_ENTITY {
-        return Verdict::Impossible;
+        return Verdict::Unprocessable;
     }
     if status.is_server_error() {
         return Verdict::Failed;
@@ -183,7 +183,7 @@
     let mut head = Response::new(());
     *head.status_mut() = response.status();
     *head.headers_mut() = response.headers().clone();
-    strip(head.headers_mut());
+    strip_hop_by_hop(head.headers_mut());
     head
 }
 
--- a/src/platform/organisation.rs
+++ b/src/platform/organisation.rs
@@ -137,7 +137,7 @@
 }
 
 /// Takes a caller's key out of a request: no endpoint may see it.
-pub fn hide(headers: &mut HeaderMap) {
+pub fn remove_credential(headers: &mut HeaderMap) {
     headers.remove(AUTHORIZATION);
 }
 
@@ -165,7 +165,7 @@
 
 /// Names a request's organisation to endpoints, whatever its caller said of it.
 /// A name that can't be a header's value is in no keyring.
-pub fn name(headers: &mut HeaderMap, organisation: Option<&str>) {
+pub fn set_header(headers: &mut HeaderMap, organisation: Option<&str>) {
     headers.remove(ORGANISATION);
     let value = organisation.and_then(|name| HeaderValue::from_str(name).ok());
     if let Some(value) = value {
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -54,7 +54,7 @@
 
 /// True when a text is a file of this format, and not of the product's own: the
 /// node's name stands at the top, where the product's own has a table.
-pub fn is_meant(text: &str) -> bool {
+pub fn is_platform_format(text: &str) -> bool {
     let (table, _) = DeTable::parse_recoverable(text);
     let node = table.get_ref().get("node");
     node.is_some_and(|node| !matches!(node.get_ref(), DeValue::Table(_)))
@@ -81,7 +81,7 @@
     let listen = listen(root.section("listen", faults), ports, faults);
     let seeds = seeds(root, faults);
     let mut limits = root.section("limits", faults);
-    let power = limits
+    let cpu_millicores = limits
         .require("cpu_share", "0.5", faults)
         .and_then(|entry| entry.decimal((0.001, MOST_CORES), faults))
         .map(thousandths);
@@ -91,7 +91,7 @@
         node: node?,
         zone: zone?,
         region: region?,
-        power: power?,
+        cpu_millicores: cpu_millicores?,
         zones: zones?,
         listen: listen?,
         seeds: seeds?,
@@ -170,7 +170,7 @@
         control: control?,
         pool: own(0),
         link: own(1),
-        desk: own(2),
+        broker: own(2),
     })
 }
 
@@ -196,7 +196,7 @@
         Some(entry) => seconds(&entry, faults),
         None => Some(usual),
     };
-    let results = optional("status_s", RESULTS, faults);
+    let result_retention = optional("status_s", RESULTS, faults);
     let directory_ttl = optional("ttl_max_s", DIRECTORY_TTL, faults);
     let window = optional("quota_window_s", Tolerance::default().window, faults);
     let strict = match section.entry("strict_revoke") {
@@ -215,9 +215,9 @@
     let slack = part("quota_slack", faults);
     Some(Bounds {
         grace: grace?,
-        results: results?,
+        result_retention: result_retention?,
         directory_ttl: directory_ttl?,
-        revoke: strict?.then_some(Duration::from_secs_f64(revoke? / 1_000.0)),
+        max_revocation_delay: strict?.then_some(Duration::from_secs_f64(revoke? / 1_000.0)),
         tolerance: Tolerance {
             window: window?,
             excess: excess?,
--- a/src/rpc/server.rs
+++ b/src/rpc/server.rs
@@ -363,7 +363,9 @@
     }
 
     fn invalid<T>(&self, refusal: Refusal) -> Outcome<T> {
-        self.shared.metrics.refuse(Class::Online, refusal.reason);
+        self.shared
+            .metrics
+            .count_refusal(Class::Online, refusal.reason);
         Outcome::NotRun(refusal)
     }
 }
--- a/src/site.rs
+++ b/src/site.rs
@@ -20,7 +20,7 @@
     /// The region of each availability zone.
     pub zones: BTreeMap<Name, Name>,
     /// The VM's processor, in thousandths of a core.
-    pub power: u16,
+    pub cpu_millicores: u16,
     /// Where the node listens.
     pub listen: Listen,
     /// Control addresses of some nodes, which may be down.
@@ -47,7 +47,7 @@
     /// For connections of other nodes; the same port on every node.
     pub link: SocketAddr,
     /// For the answers to this node's own questions about admission.
-    pub desk: SocketAddr,
+    pub broker: SocketAddr,
 }
 
 impl Listen {
@@ -72,12 +72,12 @@
     /// From SIGTERM until the process is killed.
     pub grace: Duration,
     /// For how long after its submission a batch job's results stay readable.
-    pub results: Duration,
+    pub result_retention: Duration,
     /// Longest time that callers may keep an answer of the directory.
     pub directory_ttl: Duration,
     /// Within which a revoked key is let through by no node, not even by one that
     /// can't be reached; none where only nodes that can be reached must heed it.
-    pub revoke: Option<Duration>,
+    pub max_revocation_delay: Option<Duration>,
     /// How exactly all nodes together keep organisations' limits.
     pub tolerance: Tolerance,
 }
--- a/tests/directory_addresses.rs
+++ b/tests/directory_addresses.rs
@@ -8,7 +8,7 @@
 use auburnspoke::edge::directory::addresses;
 use auburnspoke::member::{Member, State, View};
 use auburnspoke::name::Name;
-use auburnspoke::platform::call::Place;
+use auburnspoke::platform::call::Location;
 use googletest::prelude::*;
 
 const ZONES: usize = 3;
@@ -35,7 +35,7 @@
     let regions = (0..ZONES)
         .map(|at| (format!("z{at}").into(), "r0".into()))
         .collect::<BTreeMap<Name, Name>>();
-    let place = Place {
+    let place = Location {
         region: "r0".into(),
         zone: "z1".into(),
     };
--- a/tests/identity_key.rs
+++ b/tests/identity_key.rs
@@ -193,14 +193,14 @@
 #[gtest]
 fn name_callers_own_word() {
     let mut map = headers(&[("x-tenant", "other"), ("x-tenant", "another")]);
-    organisation::name(&mut map, Some("mine"));
+    organisation::set_header(&mut map, Some("mine"));
     let names: Vec<&str> = map
         .get_all("x-tenant")
         .iter()
         .map(|value| value.to_str().unwrap())
         .collect();
     expect_that!(names, elements_are![eq(&"mine")]);
-    organisation::name(&mut map, None);
+    organisation::set_header(&mut map, None);
     expect_that!(map.contains_key("x-tenant"), eq(false));
 }
 
@@ -306,7 +306,7 @@
     let told: Keyring = wire::decode(&sent).unwrap();
     expect_that!(told.find(&secret.digest()), some(anything()));
     let mut map = headers(&[("authorization", KEY)]);
-    organisation::hide(&mut map);
+    organisation::remove_credential(&mut map);
     expect_that!(map.is_empty(), eq(true));
-    expect_that!(call::attempt(&map), none());
+    expect_that!(call::request_id(&map), none());
 }
--- a/tests/metric_text.rs
+++ b/tests/metric_text.rs
@@ -29,10 +29,10 @@
 #[gtest]
 fn text_counted() {
     let metrics = Metrics::new();
-    metrics.refuse(Class::Online, Reason::Overloaded);
-    metrics.retry(Class::Batch, Reason::LinkFailed);
-    metrics.first_token(Duration::from_millis(20));
-    metrics.between_tokens(Duration::from_millis(5));
+    metrics.count_refusal(Class::Online, Reason::Overloaded);
+    metrics.count_retry(Class::Batch, Reason::LinkFailed);
+    metrics.record_first_token(Duration::from_millis(20));
+    metrics.record_between_tokens(Duration::from_millis(5));
     let text = metrics.text();
     for line in [
         "auburnspoke_refused_total{class=\"online\",reason=\"overloaded\"} 1",
--- a/tests/platform_decode.rs
+++ b/tests/platform_decode.rs
@@ -43,7 +43,7 @@
 fn settings_parse() {
     let site = settings::parse(SETTINGS).unwrap();
     expect_that!(&*site.node, eq("edge-1"));
-    expect_that!(site.power, eq(500));
+    expect_that!(site.cpu_millicores, eq(500));
     expect_that!(site.listen.pool.to_string(), eq("10.1.0.10:7720"));
     expect_that!(site.listen.link.to_string(), eq("10.1.0.10:7721"));
     expect_that!(site.bounds.grace, eq(Duration::from_secs(8)));
@@ -94,9 +94,12 @@
 }
 
 #[gtest]
-fn settings_is_meant() {
-    expect_that!(settings::is_meant(SETTINGS), eq(true));
-    expect_that!(settings::is_meant("[node]\nname = \"n\""), eq(false));
+fn settings_is_platform_format() {
+    expect_that!(settings::is_platform_format(SETTINGS), eq(true));
+    expect_that!(
+        settings::is_platform_format("[node]\nname = \"n\""),
+        eq(false)
+    );
 }
 
 const CONFIG: &str = r#"{"version":7,"routes":[
@@ -192,7 +195,7 @@
     expect_that!(decode("GET", "/-/readyz"), eq(&Call::Ready));
     expect_that!(
         decode("GET", "/-/resolve?name=h&region=r&zone=z%31"),
-        matches_pattern!(Call::Resolve(matches_pattern!(call::Place {
+        matches_pattern!(Call::Resolve(matches_pattern!(call::Location {
             zone: eq(&"z1".into()),
             ..
         })))
@@ -205,7 +208,7 @@
     );
     expect_that!(
         decode("DELETE", "/-/lots/j1"),
-        eq(&Call::End { job: "j1".into() })
+        eq(&Call::EndJob { job: "j1".into() })
     );
 }
 
@@ -216,12 +219,12 @@
     for target in ["/-/lots/j?after=x", "/-/lots/j?after=-1"] {
         expect_that!(
             decode("GET", target),
-            matches_pattern!(Call::Wrong(eq(&StatusCode::BAD_REQUEST), anything()))
+            matches_pattern!(Call::Invalid(eq(&StatusCode::BAD_REQUEST), anything()))
         );
     }
     expect_that!(
         decode("GET", "/-/nothing"),
-        matches_pattern!(Call::Wrong(eq(&StatusCode::NOT_FOUND), anything()))
+        matches_pattern!(Call::Invalid(eq(&StatusCode::NOT_FOUND), anything()))
     );
 }
 
--- a/tests/stay_address.rs
+++ b/tests/stay_address.rs
@@ -10,9 +10,9 @@
 fn bounds(grace_ms: u64, ttl_ms: u64) -> Bounds {
     Bounds {
         grace: Duration::from_millis(grace_ms),
-        results: Duration::from_secs(120),
+        result_retention: Duration::from_secs(120),
         directory_ttl: Duration::from_millis(ttl_ms),
-        revoke: None,
+        max_revocation_delay: None,
         tolerance: Tolerance::default(),
     }
 }
