--- a/src/once.rs
+++ b/src/once.rs
@@ -1,11 +1,11 @@
-//! Marks of online requests that must run at most once.
+//! Idempotency marks of online requests that must run at most once.
 //!
-//! A mark is a row that is inserted before the request reaches an endpoint, and
-//! only if no row is there. Whoever finds one does not run the request. Marks
-//! that are wanted at the same time go into one transaction, so that a burst of
-//! such requests costs the table few of them. docs/design/once.md weighs where a
-//! mark can be kept. Batch items have their marks in their lane's row instead,
-//! see [`crate::job::lane`].
+//! A mark is a row for the request's idempotency key. It is inserted before the request is sent
+//! to an endpoint, on condition that the row is absent; a request whose mark already exists is
+//! not run. Marks that are requested at the same time are inserted by one transaction, so that
+//! a burst of such requests needs few transactions. docs/design/once.md compares where a mark
+//! can be stored. Batch items have their marks in their lane's row instead, see
+//! [`crate::job::lane`].
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -23,26 +23,26 @@
 
 pub use group::{Group, Status, Step};
 
-/// When to come back after the platform's answer was lost for good.
-const LOST_ANSWER_WAIT: Duration = Duration::from_secs(1);
+/// Retry delay after the platform's answer was lost and could not be resolved.
+const LOST_ANSWER_DELAY: Duration = Duration::from_secs(1);
 
-/// Identity of a request that must run at most once.
+/// Idempotency key of a request that must run at most once.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key {
-    /// Who asks.
+    /// The organisation that sent the request.
     pub organisation: Name,
     /// The caller's key.
     pub key: Name,
 }
 
 impl Key {
-    /// The mark's row.
+    /// Returns the key of the mark's row.
     pub fn row(&self) -> String {
         format!("once/{}/{}", self.organisation, self.key)
     }
 }
 
-/// Inserts marks. One for each thread; clones share its queue.
+/// Inserts marks. There is one per thread; clones share its queue.
 #[derive(Debug)]
 pub struct Marks<T> {
     table: Rc<T>,
@@ -64,7 +64,7 @@
 struct Queue {
     waiting: VecDeque<Waiting>,
     busy: bool,
-    drawn: u64,
+    issued: u64,
 }
 
 #[derive(Debug)]
@@ -73,7 +73,7 @@
     reply: oneshot::Sender<(Status, String)>,
 }
 
-/// A mark that is one's own.
+/// A mark that was inserted by this node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Mark {
     row: String,
@@ -84,8 +84,8 @@
 where
     T: Table + 'static,
 {
-    /// Marks on behalf of `owner`, which must be unique for each thread of each
-    /// start of a process: a mark that carries it is known to be one's own.
+    /// Creates the marks of `owner`, which must be unique per thread and process start: it
+    /// identifies the marks that this thread inserted.
     pub fn new(owner: Name, table: T) -> Self {
         Self {
             table: Rc::new(table),
@@ -94,21 +94,22 @@
         }
     }
 
-    /// Inserts the mark; the request may be sent only after this returned well.
+    /// Inserts a mark. The request may be sent only after this returned `Ok`.
     ///
-    /// Nothing is sent by this call itself, so every refusal means that this
-    /// request has not run on account of it.
+    /// This call does not send the request itself, so after every refusal the request has not
+    /// run because of this call.
     ///
     /// # Errors
-    /// [`Reason::Invalid`] when the key can't name a row;
-    /// [`Reason::AlreadyRun`] when it has a mark; [`Reason::Platform`] when
-    /// the table can't be reached. After a lost answer that could not be resolved
-    /// the mark may be there, so that coming back with the same key may be told
-    /// that it was used: nobody runs it then, which is what was promised.
+    /// [`Reason::Invalid`] when the key is not a valid row key; [`Reason::AlreadyRun`] when its
+    /// mark exists; [`Reason::Platform`] when the table can't be reached. After a lost answer
+    /// that could not be resolved the mark may exist, so a retry with the same key may be
+    /// refused as already run. The request then never runs, which "at most once" allows.
     pub async fn mark(&self, key: &Key) -> Result<Mark, Refusal> {
         for name in [&key.organisation, &key.key] {
             if !name::is_valid(name) {
-                let message = format!("{name:?} can't be part of a key");
+                let message = format!(
+                    "{name:?} can't be part of a key; use letters, digits, '-', '_', '.' or ':'"
+                );
                 return Err(Refusal::new(Reason::Invalid).with_message(message));
             }
         }
@@ -117,7 +118,7 @@
             row: key.row(),
             reply,
         });
-        self.work();
+        self.start_worker();
         let (status, token) = status.await.unwrap_or((Status::Unknown, String::new()));
         match status {
             Status::Marked => Ok(Mark {
@@ -127,30 +128,30 @@
             Status::Exists => Err(Refusal::new(Reason::AlreadyRun)),
             Status::Refused(wait) => Err(Refusal::new(Reason::Platform).after(wait)),
             Status::Unknown => Err(Refusal::new(Reason::Platform)
-                .after(LOST_ANSWER_WAIT)
+                .after(LOST_ANSWER_DELAY)
                 .with_message(
-                    "the mark's answer was lost; it was not run, and its key may be used up",
+                    "the platform's answer was lost; the request was not run, but its key may be used up",
                 )),
         }
     }
 
-    /// Starts the task that empties the queue, unless one is under way.
-    fn work(&self) {
+    /// Starts the task that drains the queue, unless it is already running.
+    fn start_worker(&self) {
         if std::mem::replace(&mut self.queue.borrow_mut().busy, true) {
             return;
         }
         let marks = self.clone();
-        // A task of its own, so that a caller who goes away does not leave the
-        // others of its group without their answer.
+        // A separate task, so that a caller that disconnects does not leave the other marks of
+        // its group without an answer.
         actix_rt::spawn(async move {
-            while let Some(group) = marks.take() {
+            while let Some(group) = marks.next_group() {
                 marks.insert(group).await;
             }
             marks.queue.borrow_mut().busy = false;
         });
     }
 
-    fn take(&self) -> Option<Vec<(Waiting, String)>> {
+    fn next_group(&self) -> Option<Vec<(Waiting, String)>> {
         let mut queue = self.queue.borrow_mut();
         if queue.waiting.is_empty() {
             return None;
@@ -159,8 +160,8 @@
         let waiting: Vec<Waiting> = queue.waiting.drain(..count).collect();
         let mut group = Vec::new();
         for waiting in waiting {
-            queue.drawn += 1;
-            group.push((waiting, format!("{}/{}", self.owner, queue.drawn)));
+            queue.issued += 1;
+            group.push((waiting, format!("{}/{}", self.owner, queue.issued)));
         }
         Some(group)
     }
@@ -170,8 +171,8 @@
             .iter()
             .map(|(waiting, token)| (waiting.row.clone(), token.clone()));
         let mut group = Group::new(marks);
-        while let Some(open) = group.open() {
-            let transaction = open
+        while let Some(pending) = group.pending() {
+            let transaction = pending
                 .iter()
                 .fold(Transaction::default(), |all, (row, token)| {
                     all.check(row, Expect::Absent).put(row, token.clone())
@@ -187,15 +188,15 @@
         }
     }
 
-    /// Removes a mark of one's own whose request surely did not run, so that its
-    /// caller can come back with the same key.
+    /// Removes a mark of this node whose request certainly did not run, so that its caller can
+    /// retry with the same key.
     ///
-    /// Only the very row that was inserted goes: a removal that arrives late,
-    /// or twice, would otherwise take away the mark of the caller's next try
-    /// while that runs, and a third could run beside it.
+    /// Deletes only the version of the row that was inserted. Otherwise a removal that arrives
+    /// late or twice could delete the mark of the caller's retry while that is running, and a
+    /// further retry could run concurrently.
     ///
     /// # Errors
-    /// [`Fault`]; the key then stays used up, which is safe.
+    /// [`Fault`]; the key then stays used, which is safe.
     pub async fn unmark(&self, mark: &Mark) -> Result<(), Fault> {
         let Some(row) = self.table.get(&mark.row).await? else {
             return Ok(());
@@ -211,7 +212,7 @@
     }
 }
 
-/// A name for the owner of marks that no other start of a process has.
+/// Returns an owner name that is unique per thread and process start.
 pub fn owner(node: &str, started_ms: u64, thread: usize) -> Name {
     format!(
         "{node}-{}-{thread}",
--- a/src/once/group.rs
+++ b/src/once/group.rs
@@ -1,4 +1,4 @@
-//! What became of marks that were inserted by one transaction.
+//! State of marks that are inserted by one transaction.
 
 use std::time::Duration;
 
@@ -6,34 +6,34 @@
 
 use crate::table::Fault;
 
-/// Most marks of one transaction.
+/// Limit on the marks of one transaction.
 pub const MAX_MARKS: usize = 64;
-/// Lost answers after which the rest of a group is given up.
-const MAX_LOST: u32 = 5;
+/// Number of lost answers after which the pending marks of a group are abandoned.
+const MAX_LOST_ANSWERS: u32 = 5;
 
-/// What became of one mark.
+/// Result of inserting a mark.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// It is there, and ours: the request may be sent.
+    /// The mark was inserted by this node: the request may be sent.
     Marked,
-    /// Another one was there before.
+    /// Another mark of the same key existed before.
     Exists,
-    /// It is not there and will not be; come back after this long.
+    /// The mark was not inserted and will not be; retry after this delay.
     Refused(Duration),
-    /// It may be there. Nobody may send the request.
+    /// The mark may exist. The request must not be sent.
     Unknown,
 }
 
-/// What to do next.
+/// Next step of the insertion.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Go on with [`Group::open`].
+    /// Continue with [`Group::pending`].
     Continue,
-    /// Read this row, and tell what it has.
+    /// Read this row, and pass its value to [`Group::apply_row`].
     Read(String),
 }
 
-/// Marks that are inserted together.
+/// Marks that are inserted by one transaction.
 #[derive(Clone, Debug)]
 pub struct Group {
     marks: Vec<Mark>,
@@ -48,10 +48,10 @@
 }
 
 impl Group {
-    /// A group of rows with the token that tells each from everybody else's.
+    /// Creates a group from row keys, each with a token that is unique to this insertion.
     ///
-    /// Two marks of the same row in one group are two requests with the same
-    /// key: the first may be sent, the others may not.
+    /// Several marks of the same row belong to requests with the same key: the first may be
+    /// sent, the others may not.
     pub fn new<M>(marks: M) -> Self
     where
         M: IntoIterator<Item = (String, String)>,
@@ -71,16 +71,16 @@
         }
     }
 
-    /// The marks to insert next, if any is left.
-    pub fn open(&self) -> Option<Vec<(String, String)>> {
-        let open = self.marks.iter().filter(|mark| mark.status.is_none());
-        let open: Vec<_> = open
+    /// Returns the marks that are still to be inserted, if any.
+    pub fn pending(&self) -> Option<Vec<(String, String)>> {
+        let pending = self.marks.iter().filter(|mark| mark.status.is_none());
+        let pending: Vec<_> = pending
             .map(|mark| (mark.row.clone(), mark.token.clone()))
             .collect();
-        (!open.is_empty()).then_some(open)
+        (!pending.is_empty()).then_some(pending)
     }
 
-    /// Takes the answer to the transaction of all open marks.
+    /// Applies the answer to the transaction of all pending marks.
     pub fn apply_answer(&mut self, answer: &Result<u64, Fault>) -> Step {
         match answer {
             Ok(_) => self.settle(Status::Marked),
@@ -88,12 +88,12 @@
             Err(Fault::Refused { retry_after }) if self.lost == 0 => {
                 self.settle(Status::Refused(*retry_after));
             }
-            // An earlier try may have taken effect, so the refusal of this one
-            // does not say that the mark is not there.
+            // An earlier attempt may have taken effect, so this refusal does not prove that the
+            // mark is absent.
             Err(Fault::Refused { .. }) => self.settle(Status::Unknown),
             Err(Fault::Unknown) => {
                 self.lost += 1;
-                if self.lost >= MAX_LOST {
+                if self.lost >= MAX_LOST_ANSWERS {
                     self.settle(Status::Unknown);
                 }
             }
@@ -101,7 +101,7 @@
         Step::Continue
     }
 
-    /// Takes what the row has whose mark was in conflict.
+    /// Applies the value of the row that was in conflict.
     pub fn apply_row(&mut self, row: &str, found: &Result<Option<Bytes>, Fault>) {
         let Some(mark) = self
             .marks
@@ -111,16 +111,16 @@
             return;
         };
         mark.status = match found {
-            // Our own earlier try, whose answer was lost.
+            // An earlier attempt of this group, whose answer was lost.
             Ok(Some(value)) if **value == *mark.token.as_bytes() => Some(Status::Marked),
             Ok(Some(_)) => Some(Status::Exists),
-            // It was removed meanwhile; the next try decides.
+            // The mark was removed meanwhile; the next attempt decides.
             Ok(None) => None,
             Err(_) => Some(Status::Unknown),
         };
     }
 
-    /// The fates, in the order of the marks.
+    /// Returns the results, in the order of the marks.
     pub fn statuses(&self) -> impl Iterator<Item = Status> {
         self.marks
             .iter()
--- a/tests/drill_once.rs
+++ b/tests/drill_once.rs
@@ -1,4 +1,4 @@
-//! Requests that must not be repeated, on real processes.
+//! Requests that must run at most once, on real processes.
 
 use googletest::prelude::*;
 use serde_json::{Value, json};
@@ -33,9 +33,8 @@
     assert_eq!(answer.0, 200);
 }
 
-/// The plain service acts on a call and its answer is lost, and the clerk's
-/// client sends the call again through every node. The supplier is paid once,
-/// and each later answer says that the call may have run.
+/// The plain service runs a call, its answer is lost, and the client repeats the call through
+/// every node. The call must run once, and no later answer may report it as not run.
 #[gtest]
 fn once_answer_lost() {
     let fleet = fleet();
@@ -47,8 +46,8 @@
     expect_that!(fleet.plain_counts(0)["arrived"], eq(&json!(1)));
 }
 
-/// The node that makes the call dies while the plain service works on it. The
-/// client tries again elsewhere; the supplier is paid once.
+/// The node that dispatches the call is killed while the plain service runs it, and the client
+/// retries through another node. The call must run once.
 #[gtest]
 fn once_dispatcher_killed() {
     let mut fleet = fleet();
@@ -75,8 +74,8 @@
     expect_that!(fleet.plain_counts(0)["arrived"], eq(&json!(1)));
 }
 
-/// The platform is down, so that no mark can be made. The call is refused as
-/// not run, with when to come back, and has reached nobody.
+/// The platform is unavailable, so no mark can be inserted. The call is refused as not run, with
+/// a retry delay, and must not reach the service.
 #[gtest]
 fn once_platform_down() {
     let fleet = fleet();
--- a/tests/once_marks.rs
+++ b/tests/once_marks.rs
@@ -1,4 +1,4 @@
-//! A request that must run at most once does.
+//! Idempotency marks: a request that must run at most once is never marked twice.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -42,8 +42,8 @@
     run(async { tokio::task::LocalSet::new().run_until(test).await });
 }
 
-/// A clerk's client sends a remittance again through another node, at the same
-/// moment. With two marks a supplier is paid twice.
+/// A client sends a request again through another node at the same time. With two marks the
+/// request would run twice.
 #[gtest]
 fn mark_concurrently_on_two_nodes() {
     local(async {
@@ -62,7 +62,7 @@
     });
 }
 
-/// The same, through one node and so in one transaction.
+/// The same through one node, and therefore in one transaction.
 #[gtest]
 fn mark_twice_in_one_group() {
     local(async {
@@ -73,7 +73,7 @@
     });
 }
 
-/// A burst of such requests must not cost the table a transaction each.
+/// A burst of requests must not need one transaction per mark.
 #[gtest]
 fn mark_groups_a_burst() {
     local(async {
@@ -88,17 +88,17 @@
     });
 }
 
-/// One request of a burst was seen before. The others must not be refused for
-/// it, nor it be let through with them.
+/// The key of one request of a burst was used before. The others must not be refused because of
+/// it, and it must not be let through with them.
 #[gtest]
-fn mark_groups_a_burst_with_one_taken() {
+fn mark_groups_a_burst_with_one_used() {
     local(async {
         let platform = platform();
         let first = marks("first", &platform);
         first
             .mark(&key("invoice-3"))
             .await
-            .expect("nobody was before");
+            .expect("the key is unused");
         let second = marks("second", &platform);
         let keys: Vec<Key> = (0..20).map(|n| key(&format!("invoice-{n}"))).collect();
         let results = join_all(keys.iter().map(|key| second.mark(key))).await;
@@ -108,9 +108,9 @@
     });
 }
 
-/// The answer to the mark is lost, with and without effect. Taken for a failure,
-/// the request would be refused although nothing stands against it; taken for
-/// another's mark, its key would be used up by itself.
+/// The answer to an insertion is lost, with and without effect. If it were treated as a failure,
+/// a request would be refused needlessly; if its own mark were mistaken for another one, the
+/// request would be refused because of itself.
 #[gtest]
 fn mark_lost_answer() {
     local(async {
@@ -131,8 +131,8 @@
     });
 }
 
-/// The table is down. A request that is sent without its mark could run twice,
-/// so it is refused, and was not run.
+/// The table is unavailable. A request without a mark could run twice, so it is refused as not
+/// run.
 #[gtest]
 fn mark_during_an_outage() {
     local(async {
@@ -153,23 +153,21 @@
     });
 }
 
-/// A request was refused before any byte of it was sent, so that its caller may
-/// come back with the same key.
+/// A request is refused before any byte of it was sent. Its caller may retry with the same key.
 #[gtest]
-fn unmark_lets_the_caller_come_back() {
+fn unmark_allows_retry() {
     local(async {
         let platform = platform();
         let marks = marks("node", &platform);
         let invoice = key("invoice");
-        let mark = marks.mark(&invoice).await.expect("nobody was before");
+        let mark = marks.mark(&invoice).await.expect("the key is unused");
         marks.unmark(&mark).await.expect("the table answers");
         expect_that!(marks.mark(&invoice).await.is_ok(), eq(true));
     });
 }
 
-/// A removal was sent, its answer lost, and it is sent again after the caller
-/// has come back with the same key. Taking away the new mark would let a third
-/// try pay the supplier twice.
+/// A removal is repeated because its answer was lost, after the caller has retried with the same
+/// key. If it deleted the new mark, a further retry could run the request twice.
 #[gtest]
 fn unmark_twice() {
     local(async {
@@ -177,12 +175,15 @@
         let first = marks("node-0", &platform);
         let second = marks("node-1", &platform);
         let invoice = key("invoice");
-        let mark = first.mark(&invoice).await.expect("nobody was before");
+        let mark = first.mark(&invoice).await.expect("the key is unused");
         first.unmark(&mark).await.expect("the table answers");
-        second.mark(&invoice).await.expect("the mark is gone");
+        second.mark(&invoice).await.expect("the mark was removed");
         first.unmark(&mark).await.expect("the table answers");
         let third = first.mark(&invoice).await;
-        expect_that!(third.expect_err("taken").reason, eq(Reason::AlreadyRun));
+        expect_that!(
+            third.expect_err("the key is used").reason,
+            eq(Reason::AlreadyRun)
+        );
     });
 }
 
@@ -190,26 +191,29 @@
 fn mark_invalid_key() {
     local(async {
         let refusal = marks("node", &platform()).mark(&key("a/b")).await;
-        expect_that!(refusal.expect_err("no name").reason, eq(Reason::Invalid));
+        expect_that!(
+            refusal.expect_err("the key is invalid").reason,
+            eq(Reason::Invalid)
+        );
     });
 }
 
-/// What the table may do with one transaction.
+/// What the table does with one transaction.
 #[derive(Clone, Debug)]
 enum Luck {
     Fine,
     LostAfter,
     LostBefore,
     Refused,
-    /// It arrives only after the following one was answered.
+    /// It arrives only after the following one has been answered.
     Late,
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Two nodes insert overlapping groups while answers are lost, refused, or
-    /// overtake each other. Whatever happens, no key is marked for two.
+    /// Two nodes insert overlapping groups while answers are lost, refused or reordered. No key
+    /// may be marked for both.
     #[test]
     fn group_marks_each_key_for_one(
         luck in prop::collection::vec(prop_oneof![
@@ -236,13 +240,13 @@
         let mut luck = luck.into_iter().cycle();
         for turn in turns.into_iter().cycle().take(300) {
             let group = &mut groups[usize::from(turn)];
-            let Some(open) = group.open() else { continue };
+            let Some(pending) = group.pending() else { continue };
             let answer = match luck.next().expect("endless") {
-                Luck::Fine => insert(&open),
-                Luck::LostAfter => { let _ = insert(&open); Err(Fault::Unknown) }
+                Luck::Fine => insert(&pending),
+                Luck::LostAfter => { let _ = insert(&pending); Err(Fault::Unknown) }
                 Luck::LostBefore => Err(Fault::Unknown),
                 Luck::Refused => Err(Fault::Refused { retry_after: Duration::from_secs(1) }),
-                Luck::Late => { late.push(open); Err(Fault::Unknown) }
+                Luck::Late => { late.push(pending); Err(Fault::Unknown) }
             };
             if late.len() > 1 {
                 let _ = insert(&late.remove(0));
@@ -256,13 +260,13 @@
         for (number, (one, other)) in statuses[0].iter().zip(&statuses[1]).enumerate() {
             prop_assert!(
                 !(*one == Status::Marked && *other == Status::Marked),
-                "key {number} is marked for two"
+                "key {number} is marked for both nodes"
             );
         }
     }
 }
 
-/// The count of rows is what the table's limit counts.
+/// The table's rate limit counts rows, so a mark must be a single row.
 #[gtest]
 fn mark_costs_one_row() {
     local(async {
@@ -271,7 +275,7 @@
         marks
             .mark(&key("invoice"))
             .await
-            .expect("nobody was before");
+            .expect("the key is unused");
         expect_that!(platform.counts().writes, eq(1));
         let row = Table::get(&platform, "once/association/invoice").await;
         expect_that!(row.is_ok_and(|row| row.is_some()), eq(true));
