--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -277,26 +277,26 @@
         let deadline = now + request.time_left;
         let mut stream = attempt::Stream::new(now, pieces);
         let mut tried = History::default();
-        let mut ran = false;
+        let mut may_have_run = false;
         let fingerprint = request.fingerprint();
         loop {
             let remaining = deadline.since(self.shared.clock.now());
             if remaining.is_zero() {
-                return conclude(ran, Refusal::new(Reason::Deadline));
+                return conclude(may_have_run, Refusal::new(Reason::Deadline));
             }
             if self.is_condemned(fingerprint).await {
                 let refusal = Refusal::new(Reason::Invalid).with_message(
                     "endpoints that run this request crash; it is not run any more, so don't \
                      send it again",
                 );
-                return conclude(ran, refusal);
+                return conclude(may_have_run, refusal);
             }
             request.time_left = remaining;
             stream.resume(&mut request);
             request.spills = tried.count == 0;
             let Some(endpoint) = self.pick(&request, &tried) else {
                 let refusal = Refusal::new(Reason::NoEndpoint).after(NOT_READY_RETRY_DELAY);
-                return conclude(ran, refusal);
+                return conclude(may_have_run, refusal);
             };
             let began = self.shared.clock.now();
             let outcome = self
@@ -311,15 +311,15 @@
                 }
                 Outcome::NotRun(refusal) => retry::Failure::NotRun(refusal),
                 Outcome::MayHaveRun(refusal) => {
-                    ran = true;
+                    may_have_run = true;
                     self.report_crash(fingerprint, &refusal, began).await;
                     retry::Failure::MayHaveRun(refusal)
                 }
             };
             tried.add(endpoint, &request, &failure);
-            match self.again(&config, &request, &tried, deadline, failure) {
+            match self.decide_retry(&config, &request, &tried, deadline, failure) {
                 Ok(wait) => actix_rt::time::sleep(wait).await,
-                Err(refusal) => return conclude(ran, refusal),
+                Err(refusal) => return conclude(may_have_run, refusal),
             }
         }
     }
@@ -350,7 +350,7 @@
     }
 
     /// Returns the delay before the retry, or the final refusal.
-    fn again(
+    fn decide_retry(
         &self,
         config: &Document,
         request: &Request,
@@ -477,8 +477,8 @@
 }
 
 /// Never reports `NotRun` if an earlier attempt may have run.
-fn conclude(ran: bool, refusal: Refusal) -> Outcome<Answer> {
-    if ran {
+fn conclude(may_have_run: bool, refusal: Refusal) -> Outcome<Answer> {
+    if may_have_run {
         Outcome::MayHaveRun(refusal)
     } else {
         Outcome::NotRun(refusal)
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -83,7 +83,7 @@
                 }
                 Ok(Some(Event::Piece(piece, load))) => {
                     attempt.first_token(endpoint, load);
-                    if !stream.take(&self.shared, request.class, piece).await {
+                    if !stream.push(&self.shared, request.class, piece).await {
                         let refusal = Refusal::new(Reason::EndpointFailed)
                             .with_message("the pieces of the answer contradict each other");
                         break (Outcome::MayHaveRun(refusal), None);
@@ -177,7 +177,7 @@
     }
 
     /// Sends a piece to the caller; returns false if it contradicts what the caller has.
-    pub(super) async fn take(&mut self, shared: &Shared, class: Class, piece: Piece) -> bool {
+    pub(super) async fn push(&mut self, shared: &Shared, class: Class, piece: Piece) -> bool {
         let first = self.assembly.tokens() == 0;
         let next = match self.assembly.push(piece) {
             Push::Next(next) => next,
--- a/src/node/shares.rs
+++ b/src/node/shares.rs
@@ -69,7 +69,7 @@
         };
         if owner == self.shared.node {
             let share = self.divide(&owner, &report);
-            self.take(share);
+            self.apply_grant(share);
         } else {
             self.members.direct(owner, DEMAND, encode(&report));
         }
@@ -86,7 +86,7 @@
             }
             GRANT => {
                 if let Some(share) = decode(value) {
-                    self.take(share);
+                    self.apply_grant(share);
                 }
             }
             _ => {}
@@ -116,7 +116,7 @@
         })
     }
 
-    fn take(&self, share: Share) {
+    fn apply_grant(&self, share: Share) {
         if let Some(gateway) = self.grants.get(share.thread) {
             // The next report compensates for a lost grant.
             let _ = gateway.try_send((share.organisation, share.grant));
--- a/src/rpc/client.rs
+++ b/src/rpc/client.rs
@@ -241,7 +241,7 @@
     parts: S,
     buffer: BytesMut,
     ready: VecDeque<Result<v1::AskPiece, Error>>,
-    whole: bool,
+    has_end: bool,
     closed: bool,
 }
 
@@ -255,7 +255,7 @@
             parts,
             buffer: BytesMut::new(),
             ready: VecDeque::new(),
-            whole: false,
+            has_end: false,
             closed: false,
         }
     }
@@ -297,7 +297,7 @@
             Some(Err(e)) => self.fail(Error::Lost(e)),
             None => self.fail(Error::Lost("the answer broke off before its end".into())),
         }
-        self.unpack();
+        self.decode_buffer();
     }
 
     /// Pieces received before the failure are still returned first.
@@ -306,10 +306,10 @@
         self.ready.push_back(Err(error));
     }
 
-    fn unpack(&mut self) {
+    fn decode_buffer(&mut self) {
         while !self.closed {
             match codec::open(&mut self.buffer) {
-                Some((flags, message)) => self.take(flags, message),
+                Some((flags, message)) => self.handle(flags, message),
                 None if self.buffer.len() > MAX_ANSWER_BYTES => {
                     // Limits the memory that a faulty sender can make the client use.
                     self.fail(Error::Lost("a piece exceeds the size limit".into()));
@@ -319,11 +319,11 @@
         }
     }
 
-    fn take(&mut self, flags: u8, message: Bytes) {
+    fn handle(&mut self, flags: u8, message: Bytes) {
         if flags & END_OF_STREAM != 0 {
             return match end_of_stream(&message) {
                 Err(e) => self.fail(e),
-                Ok(()) if self.whole => self.closed = true,
+                Ok(()) if self.has_end => self.closed = true,
                 Ok(()) => self.fail(Error::Lost(
                     "the answer ended without an end message".into(),
                 )),
@@ -335,7 +335,7 @@
                 ..
             }) => self.fail(Error::Refused(refusal)),
             Ok(piece) => {
-                self.whole |= piece.end.is_some();
+                self.has_end |= piece.end.is_some();
                 self.ready.push_back(Ok(piece));
             }
             Err(e) => self.fail(Error::Lost(format!("invalid piece: {e}"))),
