--- a/src/edge/reload.rs
+++ b/src/edge/reload.rs
@@ -10,7 +10,7 @@
 use crate::platform::settings;
 use crate::site::Site;
 
-/// Interval at which the settings file is checked for changes.
+/// Interval at which the settings file is checked for changes without a SIGHUP.
 const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Reads the settings again on SIGHUP and when the file changes. No setting may
--- a/src/rpc/server.rs
+++ b/src/rpc/server.rs
@@ -31,8 +31,8 @@
 
 const CALLER: &str = "/auburnspoke.v1.Caller/";
 const OPERATOR: &str = "/auburnspoke.v1.Operator/";
-/// Minimum for the body limit of a call other than a job. It applies while the settings limit
-/// prompts to less than a quarter of it.
+/// Body limit of calls other than jobs, while the settings limit prompts to less than a quarter
+/// of it.
 const MIN_BODY_LIMIT_BYTES: usize = 1024 * 1024;
 /// Bytes that JSON may need per byte of an ordinary prompt.
 const MAX_JSON_EXPANSION: usize = 4;
