--- a/src/config/follow/message.rs
+++ b/src/config/follow/message.rs
@@ -32,7 +32,7 @@
 /// An input of the follower.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// Time has passed; due about once per second and when [`Follower::wake`]
+    /// Time has passed; due about once per second and when [`super::Follower::wake`]
     /// says.
     Tick,
     /// A read of the pointer row has completed or failed.
@@ -59,7 +59,7 @@
         document: Arc<Document>,
     },
     /// A peer is about to commit this version and waits for the acknowledgement;
-    /// see [`super::commit::Announce`].
+    /// see [`super::super::commit::Announce`].
     Announced(u64),
     /// A version was mentioned, for example by gossip.
     Mentioned(u64),
