--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -1,6 +1,5 @@
-//! Time of the control decisions at the size of docs/CAPACITY.md and its slope:
-//! placing a region's models, following the configuration in an outage, and
-//! reading the document.
+//! Time of control-plane decisions at the fleet sizes of docs/CAPACITY.md: placing a
+//! region's models, following the configuration in an outage, and decoding the document.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -53,7 +52,7 @@
     document
 }
 
-/// A planner that finds everything as it should be.
+/// Returns a planner whose endpoints all match the plan.
 fn planner(document: &Arc<Document>) -> Planner {
     let mut planner = Planner::new("muscat".into());
     let held = Some(Held {
@@ -66,7 +65,7 @@
     for endpoint in document.endpoints.values() {
         let service = &document.services[&endpoint.services[0]];
         let result = Ok(State {
-            hold: vec![choose::load(service)],
+            hold: vec![choose::required_model(service)],
             ..State::default()
         });
         let endpoint = endpoint.name.clone();
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -1,14 +1,13 @@
-//! Reaching and keeping the wanted replicas: reads what the endpoints of a
-//! region hold, plans, and orders what differs, as a pure decision.
+//! Placement of model replicas: reads which models the endpoints of a region hold,
+//! plans, and orders the differences. The decisions are free of I/O.
 //!
-//! One node does this, the holder of the region's lease. What goes wrong
-//! otherwise: two nodes order one endpoint about, and models are loaded and
-//! dropped in turns; a holder that was paused sends an order of long ago. An
-//! endpoint that checks fencing numbers refuses that order. For one that does
-//! not, the holder sends only while its lease has more time left than an order
-//! takes, a new holder first waits that long, and whatever still arrives late
-//! is found by reading back and corrected. docs/design/placement.md weighs the
-//! ways.
+//! Only the holder of the region's lease places models. Two nodes that order the
+//! same endpoint would load and drop models in turns, and a holder that was paused
+//! may send an outdated order. An endpoint that checks fencing numbers refuses such
+//! an order. To one that does not, the holder sends orders only while its lease
+//! remains valid for longer than an order takes, and a new holder first waits that
+//! long. An order that still arrives late is detected by reading the state back, and
+//! corrected. docs/design/placement.md compares the alternatives.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -30,63 +29,65 @@
 
 pub use message::{Action, Failure, Input};
 
-/// Longest time that an order may be under way before its sender gives up.
+/// Timeout of an order.
 pub const ORDER_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long a new holder waits before it orders endpoints that do not check.
-pub const SETTLE: Duration = Duration::from_secs(6);
-/// How often the state of an endpoint is read when all is as wanted.
-const POLL: Duration = Duration::from_secs(30);
-/// How often it is read while something is to be changed, while it has just
-/// stopped answering, or while an order of an earlier holder may still arrive.
-const POLL_SOON: Duration = Duration::from_secs(3);
-/// How long a new holder reads endpoints that do not check that often.
-const WATCH: Duration = Duration::from_secs(60);
-/// An endpoint that could not be reached for this long is not counted on.
-const DOWN_AFTER: Duration = Duration::from_secs(12);
-/// Reads begun in one tick, to bound the traffic after a new holder starts or
-/// a zone is lost.
-const READS_A_TICK: usize = 8;
-/// Pause before the weight store is asked again when its answer was lost.
+/// How long a new holder waits before it orders endpoints that do not check fencing
+/// numbers.
+pub const SETTLE_DELAY: Duration = Duration::from_secs(6);
+/// Interval between reads of an endpoint's state when it is as planned.
+const POLL_INTERVAL: Duration = Duration::from_secs(30);
+/// Interval between reads while changes are pending, when the endpoint has just become
+/// unreachable, or while an order of an earlier holder may still arrive.
+const FAST_POLL_INTERVAL: Duration = Duration::from_secs(3);
+/// How long a new holder polls endpoints that do not check fencing numbers at the fast
+/// interval.
+const HANDOVER_TIME: Duration = Duration::from_secs(60);
+/// Time after which an unreachable endpoint counts as down.
+const DOWN_TIMEOUT: Duration = Duration::from_secs(12);
+/// Maximum number of reads started in one tick, which limits the traffic when a new
+/// holder starts or a zone is lost.
+const MAX_READS_PER_TICK: usize = 8;
+/// Minimum delay before admission is requested again from the weight store.
 const ADMIT_RETRY: Duration = Duration::from_secs(2);
 
-/// What is known of one endpoint.
+/// State of one endpoint.
 #[derive(Clone, Debug)]
-struct Known {
-    checks: bool,
+struct Tracked {
+    checks_fencing: bool,
     state: Option<State>,
-    /// Since when it has not answered, if it has not.
-    silent: Option<Time>,
-    /// Since when it has been asked, if it is being asked or ordered.
-    asked: Option<Time>,
-    next: Time,
-    /// Loads that the weight store has admitted and that it does not yet hold.
+    /// When it became unreachable, if it is.
+    unreachable_since: Option<Time>,
+    /// When the read or order in flight was started, if any.
+    in_flight_since: Option<Time>,
+    next_read: Time,
+    /// Models that the weight store has admitted and that it does not yet hold.
     admitted: Vec<Model>,
-    /// True after a read, until it was decided when to read it next.
-    rest: bool,
+    /// True after a read, until the next one has been scheduled.
+    fresh: bool,
 }
 
-/// Members of a region that wait for its lease beside the holder. Each looks at
-/// the row every few seconds, which would be too much for the table if all did.
-const CONTENDERS: usize = 3;
+/// Maximum number of members of a region that contend for its lease. Each of them reads
+/// the row every few seconds, which would overload the table if all members did.
+const MAX_CONTENDERS: usize = 3;
 
-/// True when `node` should want the lease of its region: when it is alive and
-/// among the first members of the region by rendezvous hashing.
+/// True when `node` should contend for the lease of its region, that is when it is
+/// alive and among the first members of the region by rendezvous hashing.
 ///
-/// Members may disagree for a while, so that more or fewer of them contend; the
-/// lease keeps them apart.
+/// The views of members may differ for a while, so more or fewer members may contend.
+/// The lease still has at most one holder.
 pub fn contends(view: &View, node: &str) -> bool {
-    let Some(me) = view.find(node) else {
+    let Some(own) = view.find(node) else {
         return false;
     };
     let mut ranked: Vec<(u64, &str)> = view
         .usable()
-        .filter(|member| region(&member.zone) == region(&me.zone))
+        .filter(|member| region(&member.zone) == region(&own.zone))
         .map(|member| (xxh3_64(member.name.as_bytes()), &*member.name))
         .collect();
     ranked.sort_unstable();
     ranked
         .iter()
-        .take(CONTENDERS)
+        .take(MAX_CONTENDERS)
         .any(|(_, name)| *name == node)
 }
 
@@ -96,41 +97,41 @@
     region: Name,
     document: Arc<Document>,
     held: Option<Held>,
-    gained: Time,
-    /// The epoch under which an endpoint refused this node as stale.
-    deposed: u64,
-    endpoints: BTreeMap<Name, Known>,
+    gained_at: Time,
+    /// The epoch in which an endpoint refused an order of this node as stale.
+    superseded_epoch: u64,
+    endpoints: BTreeMap<Name, Tracked>,
     admitting: Option<(Name, Model)>,
-    admit_at: Time,
+    next_admission: Time,
     counts: Vec<choose::Count>,
 }
 
 impl Planner {
-    /// A planner of `region` that holds no lease.
+    /// Creates a planner of `region` that does not hold the lease.
     pub fn new(region: Name) -> Self {
         Self {
             region,
             document: Arc::default(),
             held: None,
-            gained: Time::ZERO,
-            deposed: 0,
+            gained_at: Time::ZERO,
+            superseded_epoch: 0,
             endpoints: BTreeMap::new(),
             admitting: None,
-            admit_at: Time::ZERO,
+            next_admission: Time::ZERO,
             counts: Vec::new(),
         }
     }
 
-    /// What each service wants in this region and has, as last planned.
+    /// Wanted and placed replicas of each service in this region, as last planned.
     pub fn counts(&self) -> &[choose::Count] {
         &self.counts
     }
 
-    /// Takes one input and appends what must be done to `actions`.
+    /// Processes one input and appends the resulting actions to `actions`.
     pub fn step(&mut self, now: Time, input: Input, actions: &mut Vec<Action>) {
         match input {
             Input::Tick { held } => {
-                self.hold(now, held);
+                self.update_lease(now, held);
                 self.tick(now, actions);
             }
             Input::Document(document) => self.set_document(now, document),
@@ -138,62 +139,62 @@
             Input::Ordered { endpoint, result } => self.ordered(now, &endpoint, &result, actions),
             Input::Admitted { result } => self.admitted(now, result),
             Input::Suspect(endpoint) => {
-                if let Some(known) = self.endpoints.get_mut(&endpoint) {
-                    known.next = now;
+                if let Some(tracked) = self.endpoints.get_mut(&endpoint) {
+                    tracked.next_read = now;
                 }
             }
         }
     }
 
-    fn hold(&mut self, now: Time, held: Option<Held>) {
+    fn update_lease(&mut self, now: Time, held: Option<Held>) {
         let before = self.held.map(|held| held.epoch);
         self.held = held;
         if held.map(|held| held.epoch) == before || held.is_none() {
             return;
         }
-        self.gained = now;
+        self.gained_at = now;
         self.admitting = None;
-        // What was known of them may be long past; their present state counts.
-        for known in self.endpoints.values_mut() {
-            *known = Known::new(now, known.checks);
+        // The recorded states may be outdated, so all endpoints are read again.
+        for tracked in self.endpoints.values_mut() {
+            *tracked = Tracked::new(now, tracked.checks_fencing);
         }
     }
 
     fn set_document(&mut self, now: Time, document: Arc<Document>) {
-        let own = self.region.clone();
+        let region_name = self.region.clone();
         let mut old = std::mem::take(&mut self.endpoints);
         let managed = |name: &Name| document.services.get(name).is_some_and(choose::is_managed);
         for endpoint in document.endpoints.values() {
-            let here = region(&endpoint.zone) == &*own;
+            let here = region(&endpoint.zone) == &*region_name;
             if !here || endpoint.leaving || !endpoint.services.iter().any(managed) {
                 continue;
             }
-            let mut known = old
+            let mut tracked = old
                 .remove(&endpoint.name)
-                .unwrap_or_else(|| Known::new(now, endpoint.checks_fencing));
-            known.checks = endpoint.checks_fencing;
-            known.next = now;
-            self.endpoints.insert(endpoint.name.clone(), known);
+                .unwrap_or_else(|| Tracked::new(now, endpoint.checks_fencing));
+            tracked.checks_fencing = endpoint.checks_fencing;
+            tracked.next_read = now;
+            self.endpoints.insert(endpoint.name.clone(), tracked);
         }
         self.document = document;
     }
 
     fn read(&mut self, now: Time, endpoint: &Name, result: Result<State, Failure>) {
-        let Some(known) = self.endpoints.get_mut(endpoint) else {
+        let Some(tracked) = self.endpoints.get_mut(endpoint) else {
             return;
         };
-        known.asked = None;
-        known.next = now + POLL_SOON;
+        tracked.in_flight_since = None;
+        tracked.next_read = now + FAST_POLL_INTERVAL;
         if let Ok(state) = result {
-            known.silent = None;
-            known.rest = true;
-            known.admitted.retain(|load| !state.hold.contains(load));
-            known.state = Some(state);
+            tracked.unreachable_since = None;
+            tracked.fresh = true;
+            tracked.admitted.retain(|model| !state.hold.contains(model));
+            tracked.state = Some(state);
             return;
         }
-        known.silent = known.silent.or(Some(now));
-        if known.is_down(now) {
-            known.next = now + POLL;
+        tracked.unreachable_since = tracked.unreachable_since.or(Some(now));
+        if tracked.is_down(now) {
+            tracked.next_read = now + POLL_INTERVAL;
         }
     }
 
@@ -204,31 +205,31 @@
         result: &Result<(), Failure>,
         actions: &mut Vec<Action>,
     ) {
-        let Some(known) = self.endpoints.get_mut(endpoint) else {
+        let Some(tracked) = self.endpoints.get_mut(endpoint) else {
             return;
         };
-        // Whatever the answer says, what the endpoint holds is read back.
-        known.asked = Some(now);
+        // The state is read back regardless of the answer.
+        tracked.in_flight_since = Some(now);
         actions.push(Action::Read(endpoint.clone()));
         if let Err(Failure::Stale { fence }) = result
             && let Some(held) = self.held
             && *fence > held.epoch
         {
-            self.deposed = held.epoch;
+            self.superseded_epoch = held.epoch;
         }
     }
 
     fn admitted(&mut self, now: Time, result: Result<(), Duration>) {
-        let Some((endpoint, load)) = self.admitting.take() else {
+        let Some((endpoint, model)) = self.admitting.take() else {
             return;
         };
         match result {
             Ok(()) => {
-                if let Some(known) = self.endpoints.get_mut(&endpoint) {
-                    known.admitted.push(load);
+                if let Some(tracked) = self.endpoints.get_mut(&endpoint) {
+                    tracked.admitted.push(model);
                 }
             }
-            Err(wait) => self.admit_at = now + wait.max(ADMIT_RETRY),
+            Err(wait) => self.next_admission = now + wait.max(ADMIT_RETRY),
         }
     }
 
@@ -236,22 +237,22 @@
         let Some(held) = self.held.filter(|held| now < held.until) else {
             return;
         };
-        if held.epoch == self.deposed {
+        if held.epoch == self.superseded_epoch {
             return;
         }
         self.poll(now, actions);
-        // Until every endpoint has been asked once, too many would be loaded.
-        let settled = |known: &Known| known.state.is_some() || known.is_down(now);
+        // Planning before every endpoint has been read would load too many models.
+        let settled = |tracked: &Tracked| tracked.state.is_some() || tracked.is_down(now);
         if !self.endpoints.values().all(settled) {
             return;
         }
-        let known: BTreeMap<Name, State> = self
+        let states: BTreeMap<Name, State> = self
             .endpoints
             .iter()
-            .filter(|(_, known)| !known.is_down(now))
-            .filter_map(|(name, known)| Some((name.clone(), known.state.clone()?)))
+            .filter(|(_, tracked)| !tracked.is_down(now))
+            .filter_map(|(name, tracked)| Some((name.clone(), tracked.state.clone()?)))
             .collect();
-        let plan = choose::plan(&self.document, &self.region, &known);
+        let plan = choose::plan(&self.document, &self.region, &states);
         if plan.counts != self.counts {
             self.counts.clone_from(&plan.counts);
             actions.push(Action::Counts(plan.counts));
@@ -262,31 +263,31 @@
     }
 
     fn poll(&mut self, now: Time, actions: &mut Vec<Action>) {
-        for known in self.endpoints.values_mut() {
-            // An answer that never came, as when this process was paused.
-            if known
-                .asked
+        for tracked in self.endpoints.values_mut() {
+            // The answer was lost, for example because this process was paused.
+            if tracked
+                .in_flight_since
                 .is_some_and(|at| now.since(at) > ORDER_TIMEOUT * 2)
             {
-                known.asked = None;
+                tracked.in_flight_since = None;
             }
         }
-        let due = |known: &Known| known.asked.is_none() && now >= known.next;
+        let due = |tracked: &Tracked| tracked.in_flight_since.is_none() && now >= tracked.next_read;
         let mut reads: Vec<_> = self
             .endpoints
             .iter_mut()
-            .filter(|(_, known)| due(known))
+            .filter(|(_, tracked)| due(tracked))
             .collect();
-        // Those that wait longest come first, or else many that don't answer
-        // would keep the others from being read.
-        reads.sort_by_key(|(_, known)| known.next);
-        for (name, known) in reads.into_iter().take(READS_A_TICK) {
-            known.asked = Some(now);
+        // The longest overdue come first; otherwise many unreachable endpoints would
+        // keep the others from being read.
+        reads.sort_by_key(|(_, tracked)| tracked.next_read);
+        for (name, tracked) in reads.into_iter().take(MAX_READS_PER_TICK) {
+            tracked.in_flight_since = Some(now);
             actions.push(Action::Read(name.clone()));
         }
     }
 
-    /// Orders an endpoint if it does not hold what it should, or lets it be.
+    /// Sends an order to an endpoint if its models differ from the plan.
     fn order(
         &mut self,
         now: Time,
@@ -295,44 +296,45 @@
         wanted: Vec<Model>,
         actions: &mut Vec<Action>,
     ) {
-        let watch = now.since(self.gained) < WATCH;
-        let Some(known) = self.endpoints.get_mut(name) else {
+        let in_handover = now.since(self.gained_at) < HANDOVER_TIME;
+        let Some(tracked) = self.endpoints.get_mut(name) else {
             return;
         };
-        let Some(state) = known.state.clone() else {
+        let Some(state) = tracked.state.clone() else {
             return;
         };
         let mut present = state.hold.clone();
         present.sort_unstable();
         if present == wanted {
-            // Read rarely, unless an order of an earlier holder may still come.
-            let quiet = known.silent.is_none() && (known.checks || !watch);
-            if quiet && known.asked.is_none() && known.rest {
-                known.rest = false;
-                known.next = now + POLL;
+            // Poll slowly, unless an order of an earlier holder may still arrive.
+            let stable =
+                tracked.unreachable_since.is_none() && (tracked.checks_fencing || !in_handover);
+            if stable && tracked.in_flight_since.is_none() && tracked.fresh {
+                tracked.fresh = false;
+                tracked.next_read = now + POLL_INTERVAL;
             }
             return;
         }
-        if known.asked.is_some() || !known.may_order(now, held, self.gained) {
+        if tracked.in_flight_since.is_some() || !tracked.may_order(now, held, self.gained_at) {
             return;
         }
         let missing = wanted
             .iter()
-            .find(|load| !present.contains(load) && !known.admitted.contains(load));
-        if let Some(load) = missing.cloned() {
-            if self.admitting.is_none() && now >= self.admit_at {
-                actions.push(Action::Admit(load.model.clone()));
-                self.admitting = Some((name.clone(), load));
+            .find(|model| !present.contains(model) && !tracked.admitted.contains(model));
+        if let Some(model) = missing.cloned() {
+            if self.admitting.is_none() && now >= self.next_admission {
+                actions.push(Action::Admit(model.model.clone()));
+                self.admitting = Some((name.clone(), model));
             }
             return;
         }
-        known.asked = Some(now);
+        tracked.in_flight_since = Some(now);
         let order = Order {
             fence: held.epoch,
             hold: wanted,
             role: state.role,
         };
-        let until = known.send_until(held);
+        let until = tracked.send_until(held);
         actions.push(Action::Order {
             endpoint: name.clone(),
             order,
@@ -341,35 +343,35 @@
     }
 }
 
-impl Known {
-    fn new(now: Time, checks: bool) -> Self {
+impl Tracked {
+    fn new(now: Time, checks_fencing: bool) -> Self {
         Self {
-            checks,
+            checks_fencing,
             state: None,
-            silent: None,
-            asked: None,
-            next: now,
+            unreachable_since: None,
+            in_flight_since: None,
+            next_read: now,
             admitted: Vec::new(),
-            rest: false,
+            fresh: false,
         }
     }
 
     fn is_down(&self, now: Time) -> bool {
-        self.silent
-            .is_some_and(|since| now.since(since) >= DOWN_AFTER)
+        self.unreachable_since
+            .is_some_and(|since| now.since(since) >= DOWN_TIMEOUT)
     }
 
-    /// The last moment at which an order may be sent.
+    /// Time until which an order may be sent.
     fn send_until(&self, held: Held) -> Time {
-        if self.checks {
+        if self.checks_fencing {
             held.until
         } else {
             held.until - ORDER_TIMEOUT
         }
     }
 
-    fn may_order(&self, now: Time, held: Held, gained: Time) -> bool {
-        let settled = self.checks || now.since(gained) >= SETTLE;
+    fn may_order(&self, now: Time, held: Held, gained_at: Time) -> bool {
+        let settled = self.checks_fencing || now.since(gained_at) >= SETTLE_DELAY;
         settled && now < self.send_until(held)
     }
 }
--- a/src/placement/choose.rs
+++ b/src/placement/choose.rs
@@ -1,5 +1,5 @@
-//! Which endpoint is to hold what, as a pure function of the configuration and
-//! of what the endpoints hold now.
+//! Assignment of models to endpoints, as a pure function of the configuration and of the
+//! current states of the endpoints.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,45 +8,43 @@
 use crate::name::Name;
 use crate::order::{Model, State};
 
-/// What one service wants in one region and has.
+/// Wanted and placed replicas of one service in one region.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Count {
     /// The service.
     pub service: Name,
-    /// Replicas wanted here.
+    /// Replicas wanted in this region.
     pub wanted: usize,
-    /// Endpoints that can be reached and are to hold it.
+    /// Reachable endpoints that are assigned to it.
     pub placed: usize,
 }
 
-/// What each endpoint is to hold.
+/// Models assigned to each endpoint.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Plan {
-    /// By endpoint, for those that can be reached: the whole set, in order.
+    /// The complete, sorted set of models by reachable endpoint.
     pub hold: BTreeMap<Name, Vec<Model>>,
     /// By service, in name order.
     pub counts: Vec<Count>,
 }
 
-/// Plans one region. `known` holds the endpoints that can be reached and what
-/// they hold.
+/// Plans one region. `states` holds the states of the reachable endpoints.
 ///
-/// Endpoints that hold a service already are chosen first, so that as little
-/// as possible is loaded anew; then those in the zone that has the fewest, then
-/// those that hold the fewest models. Services that want no number of replicas
-/// are left as they are.
-pub fn plan(document: &Document, region: &str, known: &BTreeMap<Name, State>) -> Plan {
+/// Endpoints that already hold a service's model are preferred, to minimise loading;
+/// then those in the zone with the fewest replicas, then those with the fewest models.
+/// Services without a number of replicas are left unchanged.
+pub fn plan(document: &Document, region: &str, states: &BTreeMap<Name, State>) -> Plan {
     let mut plan = Plan::default();
     let managed: Vec<&Service> = document
         .services
         .values()
         .filter(|s| is_managed(s))
         .collect();
-    for (name, state) in known {
+    for (name, state) in states {
         let kept = state
             .hold
             .iter()
-            .filter(|load| !managed.iter().any(|s| s.model == load.model));
+            .filter(|model| !managed.iter().any(|s| s.model == model.model));
         plan.hold.insert(name.clone(), kept.cloned().collect());
     }
     for service in managed {
@@ -54,9 +52,9 @@
         let wanted = share(document, region, service);
         let usable: Vec<&Endpoint> = candidates
             .into_iter()
-            .filter(|one| known.contains_key(&one.name))
+            .filter(|endpoint| states.contains_key(&endpoint.name))
             .collect();
-        let chosen = choose(service, &usable, wanted, known, &plan.hold);
+        let chosen = choose(service, &usable, wanted, states, &plan.hold);
         plan.counts.push(Count {
             service: service.name.clone(),
             wanted,
@@ -64,7 +62,7 @@
         });
         for name in chosen {
             let hold = plan.hold.entry(name).or_default();
-            merge(hold, load(service));
+            merge(hold, required_model(service));
         }
     }
     for hold in plan.hold.values_mut() {
@@ -73,13 +71,13 @@
     plan
 }
 
-/// True when its replicas are placed; others are left as they are.
+/// True when the replicas of `service` are placed. Other services are left unchanged.
 pub fn is_managed(service: &Service) -> bool {
     service.kind == Kind::Model && service.replicas > 0
 }
 
-/// What an endpoint of the service must hold.
-pub fn load(service: &Service) -> Model {
+/// Returns the model that an endpoint of `service` must hold.
+pub fn required_model(service: &Service) -> Model {
     let mut adapters = service.adapters.clone();
     adapters.sort_unstable();
     Model {
@@ -89,17 +87,17 @@
     }
 }
 
-/// Adds a load; two services of one model and version share it with the
-/// adapters of both.
-fn merge(hold: &mut Vec<Model>, load: Model) {
-    let same = |one: &&mut Model| one.model == load.model && one.version == load.version;
+/// Adds a model. Two services of the same model and version share it, with the adapters
+/// of both.
+fn merge(hold: &mut Vec<Model>, model: Model) {
+    let same = |other: &&mut Model| other.model == model.model && other.version == model.version;
     match hold.iter_mut().find(same) {
-        Some(one) => {
-            one.adapters.extend(load.adapters);
-            one.adapters.sort_unstable();
-            one.adapters.dedup();
+        Some(existing) => {
+            existing.adapters.extend(model.adapters);
+            existing.adapters.sort_unstable();
+            existing.adapters.dedup();
         }
-        None => hold.push(load),
+        None => hold.push(model),
     }
 }
 
@@ -108,13 +106,13 @@
     region_name: &str,
     service: &'a Service,
 ) -> Vec<&'a Endpoint> {
-    let here = |one: &&Endpoint| region(&one.zone) == region_name;
+    let here = |endpoint: &&Endpoint| region(&endpoint.zone) == region_name;
     document.endpoints_of(&service.name).filter(here).collect()
 }
 
-/// The region's part of the wanted replicas, in proportion to its endpoints.
-/// Every region reckons all parts alike, from the document alone, so that they
-/// add up to what is wanted without a word between them.
+/// The region's share of the wanted replicas, in proportion to its endpoints. All regions
+/// compute the shares from the document alone, so that these add up to the wanted number
+/// without communication.
 fn share(document: &Document, region_name: &str, service: &Service) -> usize {
     let mut sizes: BTreeMap<&str, usize> = BTreeMap::new();
     for endpoint in document.endpoints_of(&service.name) {
@@ -125,8 +123,8 @@
     if total == 0 {
         return 0;
     }
-    // Largest remainder: whole parts first, then one more to those that lost
-    // most by rounding down.
+    // Largest remainder method: the integer parts first, then one more for the regions
+    // with the largest remainders.
     let mut rest: Vec<(usize, &str)> = sizes
         .iter()
         .map(|(name, size)| (wanted * size % total, *name))
@@ -145,27 +143,27 @@
     service: &Service,
     usable: &[&Endpoint],
     wanted: usize,
-    known: &BTreeMap<Name, State>,
+    states: &BTreeMap<Name, State>,
     planned: &BTreeMap<Name, Vec<Model>>,
 ) -> Vec<Name> {
-    let target = load(service);
+    let target = required_model(service);
     let mut zones: BTreeMap<&str, usize> = BTreeMap::new();
-    let mut left: BTreeSet<&str> = usable.iter().map(|one| &*one.name).collect();
+    let mut left: BTreeSet<&str> = usable.iter().map(|endpoint| &*endpoint.name).collect();
     let mut chosen = Vec::new();
     while chosen.len() < wanted {
         let best = usable
             .iter()
-            .filter(|one| left.contains(&*one.name))
-            .min_by_key(|one| {
-                let holds = known
-                    .get(&one.name)
+            .filter(|endpoint| left.contains(&*endpoint.name))
+            .min_by_key(|endpoint| {
+                let mismatch = states
+                    .get(&endpoint.name)
                     .map_or(2, |state| distance(state, &target));
-                let busy = planned.get(&one.name).map_or(0, Vec::len);
+                let busy = planned.get(&endpoint.name).map_or(0, Vec::len);
                 (
-                    holds,
-                    zones.get(&*one.zone).copied().unwrap_or(0),
+                    mismatch,
+                    zones.get(&*endpoint.zone).copied().unwrap_or(0),
                     busy,
-                    &one.name,
+                    &endpoint.name,
                 )
             });
         let Some(best) = best else { break };
@@ -176,11 +174,11 @@
     chosen
 }
 
-/// 0 when the endpoint holds the model in this version, 1 in another one, 2
-/// when not at all.
+/// Returns 0 when the endpoint holds the model in this version, 1 when in another
+/// version, and 2 when not at all.
 fn distance(state: &State, target: &Model) -> u8 {
-    let of_model = || state.hold.iter().filter(|load| load.model == target.model);
-    if of_model().any(|load| load.version == target.version) {
+    let of_model = || state.hold.iter().filter(|held| held.model == target.model);
+    if of_model().any(|held| held.version == target.version) {
         0
     } else if of_model().next().is_some() {
         1
--- a/src/placement/message.rs
+++ b/src/placement/message.rs
@@ -1,4 +1,4 @@
-//! What goes into and comes out of the decision about placement.
+//! Inputs and actions of the planner.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,72 +10,70 @@
 use crate::name::Name;
 use crate::order::{Order, State};
 
-/// Why an endpoint did not answer as asked.
+/// Why a read or an order failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// It has obeyed a higher fencing number.
+    /// The endpoint has applied an order with a higher fencing number.
     Stale {
         /// That number.
         fence: u64,
     },
-    /// It could not be reached, or its answer was lost.
+    /// The endpoint was unreachable, or its answer was lost.
     Unknown,
-    /// It was not sent, because the sender's time had run out.
+    /// The order was not sent, because its time had run out.
     NotSent,
 }
 
-/// What happened.
+/// An event that the planner reacts to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input {
     /// Time passed; due about once a second.
     Tick {
-        /// The region's lease, while it may be acted under.
+        /// The region's lease, while this node holds it.
         held: Option<Held>,
     },
     /// The configuration changed.
     Document(Arc<Document>),
-    /// An endpoint's state was read, or not.
+    /// A read of an endpoint's state ended.
     Read {
         /// Which endpoint.
         endpoint: Name,
-        /// What it holds.
+        /// Its state.
         result: Result<State, Failure>,
     },
-    /// An order was obeyed, or not.
+    /// An order ended.
     Ordered {
         /// Which endpoint.
         endpoint: Name,
-        /// What became of the order.
+        /// Whether the endpoint has applied it.
         result: Result<(), Failure>,
     },
-    /// The weight store admitted the load that was asked for, or says how long
-    /// to wait.
+    /// The weight store admitted the requested load, or returned a retry delay.
     Admitted {
         /// Its answer.
         result: Result<(), Duration>,
     },
-    /// Somebody found that an endpoint answers no more.
+    /// An endpoint was observed to be unreachable.
     Suspect(Name),
 }
 
-/// What the shell must do.
+/// What the shell does on behalf of the planner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Read an endpoint's state.
     Read(Name),
-    /// Ask the weight store for the right to load this model.
+    /// Request admission of a load of this model from the weight store.
     Admit(Name),
     /// Send an order.
     Order {
         /// To which endpoint.
         endpoint: Name,
-        /// What it is to be.
+        /// The order.
         order: Order,
-        /// The last moment at which it may be sent. The shell looks at the
-        /// clock once more right before it sends, because it may have been
-        /// paused since the decision.
+        /// Time until which it may be sent. The shell checks the clock again right
+        /// before sending, because it may have been paused since the decision.
         until: Time,
     },
-    /// What the services want and have has changed.
+    /// The wanted or placed replicas of services have changed.
     Counts(Vec<Count>),
 }
--- a/src/placement/run.rs
+++ b/src/placement/run.rs
@@ -1,5 +1,5 @@
-//! The shell around a [`Planner`]: keeps the region's lease, reads and orders
-//! endpoints over HTTP and asks the weight store.
+//! The shell around a [`Planner`]: holds the region's lease, reads and orders endpoints
+//! over HTTP, and requests admission from the weight store.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -22,47 +22,53 @@
 use crate::snapshot::Cell;
 use crate::table::{Fault, Table, Weight};
 
-/// How often the decision is told that time has passed.
+/// Interval between ticks of the planner.
 const TICK: Duration = Duration::from_millis(500);
-/// When the weight store is asked again after its answer was lost.
+/// Retry delay when the weight store's answer was lost.
 const ADMIT_RETRY: Duration = Duration::from_secs(2);
 
-/// Where a node's placement runs.
+/// The node that placement runs on.
 pub struct Context {
     /// The node's name.
     pub node: Name,
     /// Its availability zone.
     pub zone: Name,
-    /// Tells this process from earlier ones of the same name.
+    /// Distinguishes this process from earlier ones of the same name.
     pub nonce: u64,
     /// The monotonic clock.
     pub clock: Clock,
-    /// The configuration that may be acted by.
+    /// The configuration in force.
     pub force: Arc<Cell<InForce>>,
     /// The members.
     pub view: Arc<Cell<View>>,
 }
 
-/// Starts placement on this thread: it wants the region's lease while the
-/// members say so, and places while it holds it. A node that leaves is no
-/// longer among those that contend, and gives the lease up.
-pub fn start<P>(site: Context, platform: P) -> Placer<P, P>
+/// Starts placement on this thread. The node contends for the region's lease while it is
+/// among the contenders by its view of the members, and places models while it holds the
+/// lease. A node that leaves is no longer a contender and releases the lease.
+pub fn start<P>(context: Context, platform: P) -> Placer<P, P>
 where
     P: Table + Weight + Clone + 'static,
 {
-    let region: Name = region(&site.zone).into();
+    let region: Name = region(&context.zone).into();
     let setting = Setting::new(
         &format!("placement/{region}"),
-        site.node.clone(),
-        site.nonce,
+        context.node.clone(),
+        context.nonce,
     );
-    let keeper = Elector::new(platform.clone(), site.clock, setting);
-    let placer = Placer::new(region, keeper.clone(), platform, site.clock, site.force);
-    actix_rt::spawn(keeper.clone().run());
+    let elector = Elector::new(platform.clone(), context.clock, setting);
+    let placer = Placer::new(
+        region,
+        elector.clone(),
+        platform,
+        context.clock,
+        context.force,
+    );
+    actix_rt::spawn(elector.clone().run());
     actix_rt::spawn(placer.clone().run());
     actix_rt::spawn(async move {
         loop {
-            keeper.contend(contends(&site.view.read(), &site.node));
+            elector.contend(contends(&context.view.read(), &context.node));
             actix_rt::time::sleep(TICK).await;
         }
     });
@@ -75,7 +81,7 @@
 }
 
 struct Inner<T, W> {
-    keeper: Elector<T>,
+    elector: Elector<T>,
     weight: W,
     clock: Clock,
     force: Arc<Cell<InForce>>,
@@ -96,18 +102,18 @@
     T: Table + 'static,
     W: Weight + 'static,
 {
-    /// A placer of `region` under `keeper`'s lease; it starts with
-    /// [`Placer::run`]. It acts only by a configuration that is in force.
+    /// Creates a placer of `region` under `elector`'s lease, which [`Placer::run`] starts.
+    /// It acts only while its configuration is in force.
     pub fn new(
         region: Name,
-        keeper: Elector<T>,
+        elector: Elector<T>,
         weight: W,
         clock: Clock,
         force: Arc<Cell<InForce>>,
     ) -> Self {
         Self {
             inner: Rc::new(Inner {
-                keeper,
+                elector,
                 weight,
                 clock,
                 force,
@@ -128,13 +134,13 @@
                 version = force.document.version;
                 self.step(Input::Document(Arc::clone(&force.document)));
             }
-            let held = self.inner.keeper.held().filter(|_| holds);
+            let held = self.inner.elector.held().filter(|_| holds);
             self.step(Input::Tick { held });
             actix_rt::time::sleep(TICK).await;
         }
     }
 
-    /// Notes that an endpoint answers no more, so that it is looked at soon.
+    /// Records that an endpoint is unreachable, so that it is read soon.
     pub fn suspect(&self, endpoint: Name) {
         self.step(Input::Suspect(endpoint));
     }
@@ -207,8 +213,7 @@
 
     async fn order(&self, endpoint: &str, order: &Order, until: Time) -> Result<(), Failure> {
         let url = self.url(endpoint, ORDER_PATH).ok_or(Failure::NotSent)?;
-        // The decision may be old by now: this process may have been paused
-        // between it and this line.
+        // The decision may be outdated, as this process may have been paused since.
         let result = if self.inner.clock.now() < until {
             send(&self.inner.http, &url, order).await
         } else {
@@ -239,7 +244,7 @@
 /// Reads an endpoint's state.
 ///
 /// # Errors
-/// [`Failure::Unknown`] when it does not answer as it should.
+/// [`Failure::Unknown`] when it does not return a valid state.
 pub async fn read(client: &awc::Client, url: &str) -> Result<State, Failure> {
     let exchange = async {
         let mut answer = client.get(url).send().await.ok()?;
@@ -256,8 +261,8 @@
 /// Sends an order.
 ///
 /// # Errors
-/// [`Failure::Stale`] when the endpoint has obeyed a higher fencing number,
-/// [`Failure::Unknown`] when the order may or may not have been obeyed.
+/// [`Failure::Stale`] when the endpoint has applied an order with a higher fencing
+/// number, [`Failure::Unknown`] when it is unknown whether the order was applied.
 pub async fn send(client: &awc::Client, url: &str, order: &Order) -> Result<(), Failure> {
     let body = serde_json::to_vec(order).map_err(|_| Failure::NotSent)?;
     let exchange = async {
--- a/tests/placement_fleet.rs
+++ b/tests/placement_fleet.rs
@@ -1,4 +1,4 @@
-//! Placement by real nodes, one of which is frozen while it holds the lease.
+//! Placement by real nodes, one of which is paused while it holds the lease.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 #[path = "support/env.rs"]
 mod env;
 
-/// What an engine holds, and the fencing number of its last order.
+/// Returns an engine's models and the fencing number of its last order.
 fn state(fleet: &env::Fleet, engine: usize) -> Value {
     let (_, body) = env::get(&fleet.engines[engine].address("listening"), "/v1/state");
     serde_json::from_slice(&body).unwrap()
@@ -23,7 +23,7 @@
     (0..fleet.engines.len()).all(|engine| state(fleet, engine)["hold"] == wanted)
 }
 
-/// The node that holds the region's lease, by the table.
+/// Returns the holder of the region's lease and its epoch, from the table.
 fn holder(fleet: &env::Fleet) -> Option<(usize, u64)> {
     let address = fleet.platform.address("listening").parse().unwrap();
     let found = actix_rt::System::new().block_on(async {
@@ -46,11 +46,10 @@
 }
 
 #[gtest]
-fn holder_frozen() {
-    // The node that orders the engines about is frozen, another takes over and
-    // loads a new version, and the first one goes on where it stood. Callers
-    // must not see the old version come back, neither on the engine that checks
-    // fencing numbers nor on the one that does not.
+fn holder_paused() {
+    // The holder is paused, another node takes over and loads a new version, and the
+    // first one resumes. The old version must not come back, neither on the engine that
+    // checks fencing numbers nor on the one that does not.
     let mut fleet = env::Fleet::new();
     fleet.engine(&["--checks-fencing"]).engine(&[]);
     fleet.node("zone-0").node("zone-1").node("zone-2");
@@ -80,8 +79,8 @@
 
 #[gtest]
 fn engine_replaced() {
-    // An engine is replaced by an empty one at another address, and is loaded
-    // without anybody asking for it.
+    // An engine that is replaced by an empty one at another address must be loaded
+    // without further operator action.
     let mut fleet = env::Fleet::new();
     fleet
         .engine(&["--checks-fencing"])
--- a/tests/placement_http.rs
+++ b/tests/placement_http.rs
@@ -1,5 +1,4 @@
-//! Orders over HTTP to endpoints that check fencing numbers and to ones that
-//! do not.
+//! Orders over HTTP to endpoints that check fencing numbers and to endpoints that do not.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -23,7 +22,7 @@
 use googletest::prelude::*;
 use tokio::sync::watch;
 
-/// An endpoint that does what it is ordered.
+/// An endpoint that applies orders.
 #[derive(Clone)]
 struct Engine {
     address: SocketAddr,
@@ -121,7 +120,7 @@
     document
 }
 
-/// Waits, generously, until `holds` is true.
+/// Waits for up to 30 s until `holds` is true.
 async fn eventually<F>(holds: F) -> bool
 where
     F: Fn() -> bool,
@@ -137,10 +136,9 @@
 
 #[gtest]
 fn send_late_order() {
-    // A holder was paused right before it sent an order, lost its lease, and
-    // goes on. The endpoint that checks refuses the order. The other one obeys
-    // and drops the model that callers need, until the new holder has read that
-    // back and put it right.
+    // A holder was paused right before it sent an order, lost its lease, and resumes. The
+    // endpoint that checks fencing numbers refuses the order. The other one applies it and
+    // drops the wanted model, until the new holder reads this back and corrects it.
     actix_rt::System::new().block_on(async {
         let (checking, plain) = (Engine::start(true), Engine::start(false));
         let clock = Clock::start();
@@ -150,11 +148,11 @@
         };
         let platform = Platform::new(1);
         let setting = Setting::new("placement/muscat", "n1".into(), 1);
-        let keeper = Elector::new(platform.clone(), clock, setting);
-        actix_rt::spawn(keeper.clone().run());
-        keeper.contend(true);
+        let elector = Elector::new(platform.clone(), clock, setting);
+        actix_rt::spawn(elector.clone().run());
+        elector.contend(true);
         let force = Arc::new(Cell::new(force));
-        let placer = Placer::new("muscat".into(), keeper.clone(), platform, clock, force);
+        let placer = Placer::new("muscat".into(), elector.clone(), platform, clock, force);
         actix_rt::spawn(placer.run());
 
         let wanted = vec![load("2")];
@@ -170,7 +168,10 @@
         expect_that!(obeyed, eq(&Ok(())));
         expect_that!(plain.hold(), eq(&vec![load("1")]));
         expect_that!(eventually(both).await, eq(true));
-        expect_that!(plain.state.borrow().fence, eq(keeper.held().unwrap().epoch));
+        expect_that!(
+            plain.state.borrow().fence,
+            eq(elector.held().unwrap().epoch)
+        );
     });
 }
 
@@ -187,8 +188,8 @@
 }
 
 #[gtest]
-fn obey_json() {
-    // The paths are for engines that others write, so that the text is fixed.
+fn apply_json() {
+    // Third-party engines implement this protocol, so its JSON form is fixed.
     let order: Order = serde_json::from_str(
         r#"{"fence":7,"hold":[{"model":"m","version":"2","adapters":["a"]}],"role":"prefill"}"#,
     )
--- a/tests/placement_planner.rs
+++ b/tests/placement_planner.rs
@@ -1,5 +1,5 @@
-//! Placement by a fleet in virtual time: holders that are paused, orders that
-//! arrive late, endpoints that are lost, and a weight store that is slow.
+//! Placement by a fleet in virtual time, with paused holders, late orders, lost endpoints
+//! and a slow weight store.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use auburnspoke::lease;
 use auburnspoke::name::Name;
 use auburnspoke::order::State;
-use auburnspoke::placement::{Action, Failure, Input, Planner, SETTLE};
+use auburnspoke::placement::{Action, Failure, Input, Planner, SETTLE_DELAY};
 use auburnspoke::table::fault::Command;
 use googletest::prelude::*;
 use proptest::prelude::{ProptestConfig, any, proptest};
@@ -27,27 +27,26 @@
         ..ProptestConfig::default()
     })]
 
-    // Holders are paused and go on, their orders arrive late, endpoints come
-    // and go. An old order may for a while undo what is wanted, which callers
-    // see as a model that is missing; it must not stay so, and nobody may go on
-    // ordering when all is as it should be.
+    // Holders are paused and resume, their orders arrive late, and endpoints come and go.
+    // An outdated order may temporarily drop a model that callers need. This must be
+    // corrected, and no further orders may be sent once all endpoints are as planned.
     #[test]
-    fn step_disturbed(seed in any::<u64>()) {
+    fn step_faults(seed in any::<u64>()) {
         let mut fleet = Fleet::new(seed);
         for _ in 0..50 {
-            fleet.disturb();
+            fleet.inject_fault();
             let seconds = fleet.random.random_range(0..20);
             fleet.run(seconds);
         }
         fleet.platform.command(&Command::Clear);
         fleet.nodes.iter_mut().for_each(|node| node.paused_until = Time::ZERO);
-        fleet.endpoints.values_mut().for_each(|one| one.up = true);
-        // The last late order arrives within 40 s, and is corrected.
-        fleet.lateness = 500;
+        fleet.endpoints.values_mut().for_each(|endpoint| endpoint.up = true);
+        // The last late order arrives within 40 s and must then be corrected.
+        fleet.max_order_delay_ms = 500;
         fleet.run(150);
         let wanted = ["a", "b"].map(|name| fleet.document.services[name].replicas as usize);
         proptest::prop_assert_eq!(fleet.held(), wanted);
-        proptest::prop_assert_eq!(fleet.strays(), 0);
+        proptest::prop_assert_eq!(fleet.unplanned_models(), 0);
         let orders = fleet.orders;
         fleet.run(120);
         proptest::prop_assert_eq!(fleet.orders, orders);
@@ -56,7 +55,7 @@
 }
 
 #[gtest]
-fn step_reached() {
+fn step_target_reached() {
     let mut fleet = Fleet::new(1);
     fleet.run(30);
     expect_that!(fleet.held(), eq([4, 3]));
@@ -66,8 +65,8 @@
 
 #[gtest]
 fn step_weight_limited() {
-    // Eight endpoints want models at once. The weight store admits ten loads a
-    // minute, and everybody's loads would slow down if more were begun.
+    // Eight endpoints need models at once. The weight store admits ten loads a minute, and
+    // starting more would slow down all of them.
     let mut fleet = Fleet::new(1);
     fleet.platform.command(&Command::Weight {
         per_minute: 10,
@@ -88,28 +87,30 @@
 
 #[gtest]
 fn step_endpoint_lost() {
-    // An endpoint dies, and another takes its place within a minute. What it
-    // held is dropped where there is too much when it comes back.
+    // An endpoint is lost and replaced by another within a minute. When it comes back,
+    // surplus replicas are dropped.
     let mut fleet = Fleet::new(1);
     fleet.run(30);
     let lost = fleet
         .endpoints
         .values_mut()
-        .find(|one| !one.state.hold.is_empty())
+        .find(|endpoint| !endpoint.state.hold.is_empty())
         .unwrap();
     lost.up = false;
     fleet.run(60);
     expect_that!(fleet.held(), eq([4, 3]));
-    fleet.endpoints.values_mut().for_each(|one| one.up = true);
+    fleet
+        .endpoints
+        .values_mut()
+        .for_each(|endpoint| endpoint.up = true);
     fleet.run(60);
     expect_that!(fleet.held(), eq([4, 3]));
 }
 
 #[gtest]
-fn step_holder_follows() {
-    // The holder is lost and nothing else changes. Its successor finds all as
-    // it should be; if it planned before it had read every endpoint, it would
-    // load models where none are wanted.
+fn step_holder_replaced() {
+    // The holder is lost and nothing else changes. If its successor planned before it had
+    // read every endpoint, it would load surplus models.
     let mut fleet = Fleet::new(1);
     fleet.run(30);
     let (orders, loads) = (fleet.orders, fleet.loads);
@@ -117,7 +118,7 @@
         .find(|at| fleet.nodes[*at].claim.held(fleet.now).is_some())
         .unwrap();
     fleet.nodes[holder].paused_until = Time::MAX;
-    fleet.slowness = 3_000;
+    fleet.max_read_delay_ms = 3_000;
     fleet.run(60);
     let next = (0..NODES).find(|at| fleet.nodes[*at].claim.held(fleet.now).is_some());
     expect_that!(next, some(not(eq(holder))));
@@ -126,8 +127,8 @@
 
 #[gtest]
 fn ordered_read_back() {
-    // The endpoint says that it obeyed. What it holds is read all the same,
-    // because the last order to arrive may be another.
+    // The endpoint confirms an order. Its state must be read back all the same, because
+    // another order may have arrived after it.
     let (mut planner, _) = planner(START + Duration::from_secs(60));
     let mut actions = Vec::new();
     let obeyed = Input::Ordered {
@@ -151,7 +152,7 @@
     expect_that!(fleet.held(), eq([5, 2]));
 }
 
-/// A planner with all states read, and its lease.
+/// Returns a planner that has read all states, and its lease.
 fn planner(until: Time) -> (Planner, lease::Held) {
     let mut planner = Planner::new("muscat".into());
     let held = lease::Held { epoch: 3, until };
@@ -169,7 +170,7 @@
     (planner, held)
 }
 
-/// Ticks and admits until nothing more is ordered; the endpoints ordered.
+/// Ticks and admits loads until no more orders are sent, and returns the ordered endpoints.
 fn ordered(planner: &mut Planner, now: Time, held: lease::Held) -> Vec<Name> {
     let mut ordered = Vec::new();
     for _ in 0..40 {
@@ -198,7 +199,7 @@
     ordered
 }
 
-fn even() -> Vec<Name> {
+fn fencing_endpoints() -> Vec<Name> {
     (0..ENDPOINTS)
         .step_by(2)
         .map(|at| format!("e{at}").into())
@@ -207,12 +208,12 @@
 
 #[gtest]
 fn tick_new_holder_settles() {
-    // The holder before may have sent an order a moment ago. Endpoints that
-    // check will refuse it; those that do not are left alone until it has
-    // arrived, so that it can't undo a newer one.
+    // The previous holder may have just sent an order. Endpoints that check fencing numbers
+    // refuse it. The others get no orders until it has arrived, so that it can't revert a
+    // newer one.
     let (mut planner, held) = planner(START + Duration::from_secs(60));
-    expect_that!(ordered(&mut planner, START, held), eq(&even()));
-    let settled = START + SETTLE;
+    expect_that!(ordered(&mut planner, START, held), eq(&fencing_endpoints()));
+    let settled = START + SETTLE_DELAY;
     expect_that!(
         ordered(&mut planner, settled, held).len(),
         eq(ENDPOINTS / 2)
@@ -221,31 +222,31 @@
 
 #[gtest]
 fn tick_lease_ends_soon() {
-    // The lease has less time left than an order takes. Sent now to an
-    // endpoint that does not check, it might arrive under the next holder.
+    // The lease has less time left than an order takes. An order to an endpoint that does
+    // not check fencing numbers might arrive under the next holder.
     let (mut planner, held) = planner(START + Duration::from_secs(20));
-    expect_that!(ordered(&mut planner, START, held), eq(&even()));
+    expect_that!(ordered(&mut planner, START, held), eq(&fencing_endpoints()));
     let late = START + Duration::from_secs(18);
-    expect_that!(ordered(&mut planner, late, held), eq(&even()));
+    expect_that!(ordered(&mut planner, late, held), eq(&fencing_endpoints()));
 }
 
 #[gtest]
 fn ordered_stale() {
-    // An endpoint has obeyed a newer holder. This node stops ordering at once,
-    // whatever it still believes of its lease.
+    // An endpoint has applied an order of a newer holder. This node must stop sending
+    // orders at once, even if its lease still appears to be valid.
     let (mut planner, held) = planner(START + Duration::from_secs(60));
     let stale = Input::Ordered {
         endpoint: "e0".into(),
         result: Err(Failure::Stale { fence: 4 }),
     };
     planner.step(START, stale, &mut Vec::new());
-    let settled = START + SETTLE;
+    let settled = START + SETTLE_DELAY;
     expect_that!(ordered(&mut planner, settled, held).len(), eq(0));
 }
 
 #[gtest]
 fn step_operations() {
-    // What an hour without change costs; docs/design/placement.md adds it up.
+    // Bounds the cost of an hour without changes; see docs/design/placement.md.
     let mut fleet = Fleet::new(1);
     fleet.run(120);
     let (orders, reads, counts) = (fleet.orders, fleet.reads, fleet.platform.counts());
--- a/tests/placement_planner/fleet.rs
+++ b/tests/placement_planner/fleet.rs
@@ -1,5 +1,5 @@
-//! A small fleet of holders and endpoints in virtual time, with pauses, late
-//! orders, lost endpoints and changes.
+//! A small fleet of nodes and endpoints in virtual time, with pauses, late orders, lost
+//! endpoints and configuration changes.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use auburnspoke::lease::{self, Claim, Setting};
 use auburnspoke::name::Name;
 use auburnspoke::order::{Order, State};
-use auburnspoke::placement::choose::load;
+use auburnspoke::placement::choose::required_model;
 use auburnspoke::placement::{Action, Failure, Input, Planner};
 use auburnspoke::rpc::v1;
 use auburnspoke::table::fault::Command;
@@ -54,7 +54,7 @@
     Arc::new(document)
 }
 
-pub enum Mail {
+pub enum Message {
     Read {
         node: usize,
         endpoint: Name,
@@ -74,7 +74,7 @@
     pub claim: Claim,
     pub planner: Planner,
     pub paused_until: Time,
-    /// Orders that were decided and wait to be sent.
+    /// Orders that have not been sent yet.
     pub outbox: Vec<(Name, Order, Time)>,
 }
 
@@ -91,12 +91,12 @@
     pub document: Arc<Document>,
     pub nodes: Vec<Node>,
     pub endpoints: BTreeMap<Name, Endpoint>,
-    pub mails: BTreeMap<(Time, u64), Mail>,
+    pub messages: BTreeMap<(Time, u64), Message>,
     pub sent: u64,
-    /// The longest that an order may be under way, in milliseconds.
-    pub lateness: u64,
-    /// The longest that a read is under way, in milliseconds.
-    pub slowness: u64,
+    /// Maximum delay of an order in milliseconds.
+    pub max_order_delay_ms: u64,
+    /// Maximum delay of a read in milliseconds.
+    pub max_read_delay_ms: u64,
     pub orders: u32,
     pub loads: u64,
     pub reads: u32,
@@ -105,15 +105,15 @@
 impl Fleet {
     pub fn new(seed: u64) -> Self {
         let document = document(1, "1", [4, 3]);
-        let endpoint = |one: &auburnspoke::config::Endpoint| Endpoint {
+        let state_of = |endpoint: &auburnspoke::config::Endpoint| Endpoint {
             state: State::default(),
-            checks: one.checks_fencing,
+            checks: endpoint.checks_fencing,
             up: true,
         };
         let endpoints = document
             .endpoints
             .values()
-            .map(|one| (one.name.clone(), endpoint(one)));
+            .map(|endpoint| (endpoint.name.clone(), state_of(endpoint)));
         let node = |at: usize| {
             let setting = Setting::new("placement", format!("n{at}").into(), at as u64 + 1);
             let mut claim = Claim::new(START, setting);
@@ -132,10 +132,10 @@
             endpoints: endpoints.collect(),
             document: Arc::clone(&document),
             nodes: (0..NODES).map(node).collect(),
-            mails: BTreeMap::new(),
+            messages: BTreeMap::new(),
             sent: 0,
-            lateness: 500,
-            slowness: 500,
+            max_order_delay_ms: 500,
+            max_read_delay_ms: 500,
             orders: 0,
             loads: 0,
             reads: 0,
@@ -152,20 +152,21 @@
         }
     }
 
-    pub fn send(&mut self, longest: u64, mail: Mail) {
+    pub fn send(&mut self, longest: u64, message: Message) {
         self.sent += 1;
         let latency = Duration::from_millis(self.random.random_range(1..=longest));
-        self.mails.insert((self.now + latency, self.sent), mail);
+        self.messages
+            .insert((self.now + latency, self.sent), message);
     }
 
     pub fn step(&mut self) {
         self.now += STEP;
         self.platform.set_time(self.now);
         let due = self
-            .mails
+            .messages
             .split_off(&(self.now + Duration::from_micros(1), 0));
-        for ((_, order), mail) in std::mem::replace(&mut self.mails, due) {
-            self.deliver(order, mail);
+        for ((_, order), message) in std::mem::replace(&mut self.messages, due) {
+            self.deliver(order, message);
         }
         for at in 0..NODES {
             if self.now < self.nodes[at].paused_until {
@@ -175,21 +176,21 @@
             self.lease(at, lease::Input::Tick);
             let held = self.nodes[at].claim.held(self.now);
             self.plan(at, Input::Tick { held });
-            // A pause may fall between the decision and the sending.
+            // A pause may occur between the decision and the send.
             if self.random.random_bool(0.9) {
                 self.flush(at);
             }
         }
     }
 
-    /// Sends what was decided, as the shell does: not after its time.
+    /// Sends the queued orders, unless their time has run out, as the shell does.
     pub fn flush(&mut self, at: usize) {
         for (endpoint, order, until) in std::mem::take(&mut self.nodes[at].outbox) {
             if self.now < until {
-                let longest = self.lateness;
+                let longest = self.max_order_delay_ms;
                 self.send(
                     longest,
-                    Mail::Order {
+                    Message::Order {
                         node: at,
                         endpoint,
                         order,
@@ -202,9 +203,9 @@
         }
     }
 
-    pub fn deliver(&mut self, order: u64, mail: Mail) {
-        match mail {
-            Mail::Read { node, endpoint } => {
+    pub fn deliver(&mut self, order: u64, message: Message) {
+        match message {
+            Message::Read { node, endpoint } => {
                 self.reads += 1;
                 let target = &self.endpoints[&endpoint];
                 let result = if target.up {
@@ -213,26 +214,30 @@
                     Err(Failure::Unknown)
                 };
                 let input = Input::Read { endpoint, result };
-                self.send(500, Mail::Answer { node, input });
+                self.send(500, Message::Answer { node, input });
             }
-            Mail::Order {
+            Message::Order {
                 node,
                 endpoint,
                 order,
             } => {
-                let result = self.obey(&endpoint, order);
+                let result = self.apply_order(&endpoint, order);
                 let input = Input::Ordered { endpoint, result };
-                self.send(500, Mail::Answer { node, input });
+                self.send(500, Message::Answer { node, input });
             }
-            Mail::Answer { node, .. } if self.now < self.nodes[node].paused_until => {
-                self.mails
-                    .insert((self.nodes[node].paused_until, order), mail);
+            Message::Answer { node, .. } if self.now < self.nodes[node].paused_until => {
+                self.messages
+                    .insert((self.nodes[node].paused_until, order), message);
             }
-            Mail::Answer { node, input } => self.plan(node, input),
+            Message::Answer { node, input } => self.plan(node, input),
         }
     }
 
-    pub fn obey(&mut self, endpoint: &str, order: Order) -> std::result::Result<(), Failure> {
+    pub fn apply_order(
+        &mut self,
+        endpoint: &str,
+        order: Order,
+    ) -> std::result::Result<(), Failure> {
         let target = self.endpoints.get_mut(endpoint).unwrap();
         if !target.up {
             return Err(Failure::Unknown);
@@ -273,8 +278,8 @@
         for action in actions {
             match action {
                 Action::Read(endpoint) => {
-                    let longest = self.slowness;
-                    self.send(longest, Mail::Read { node: at, endpoint });
+                    let longest = self.max_read_delay_ms;
+                    self.send(longest, Message::Read { node: at, endpoint });
                 }
                 Action::Admit(model) => {
                     let result = self.platform.admit(&model).now_or_never().unwrap();
@@ -283,7 +288,7 @@
                         _ => Duration::from_secs(1),
                     });
                     let input = Input::Admitted { result };
-                    self.send(500, Mail::Answer { node: at, input });
+                    self.send(500, Message::Answer { node: at, input });
                 }
                 Action::Order {
                     endpoint,
@@ -303,26 +308,27 @@
         }
     }
 
-    /// How many endpoints hold each service's model, and only as wanted.
+    /// Number of endpoints that hold each service's model as configured.
     pub fn held(&self) -> [usize; 2] {
         ["a", "b"].map(|name| {
-            let wanted = load(&self.document.services[name]);
-            let up = self.endpoints.values().filter(|one| one.up);
-            up.filter(|one| one.state.hold.contains(&wanted)).count()
+            let wanted = required_model(&self.document.services[name]);
+            let up = self.endpoints.values().filter(|endpoint| endpoint.up);
+            up.filter(|endpoint| endpoint.state.hold.contains(&wanted))
+                .count()
         })
     }
 
-    /// Loads that are in nobody's plan.
-    pub fn strays(&self) -> usize {
-        let wanted = self.document.services.values().map(load);
+    /// Number of held models that no service requires.
+    pub fn unplanned_models(&self) -> usize {
+        let wanted = self.document.services.values().map(required_model);
         let wanted: Vec<_> = wanted.collect();
-        let up = self.endpoints.values().filter(|one| one.up);
-        up.flat_map(|one| &one.state.hold)
+        let up = self.endpoints.values().filter(|endpoint| endpoint.up);
+        up.flat_map(|endpoint| &endpoint.state.hold)
             .filter(|load| !wanted.contains(load))
             .count()
     }
 
-    pub fn disturb(&mut self) {
+    pub fn inject_fault(&mut self) {
         let node = self.random.random_range(0..NODES);
         let endpoint: Name = format!("e{}", self.random.random_range(0..ENDPOINTS)).into();
         match self.random.random_range(0..8) {
@@ -330,10 +336,10 @@
                 let pause = Duration::from_millis(self.random.random_range(1_000..60_000));
                 self.nodes[node].paused_until = self.now + pause;
             }
-            2 => self.lateness = self.random.random_range(500..40_000),
-            3 => self.lateness = 500,
+            2 => self.max_order_delay_ms = self.random.random_range(500..40_000),
+            3 => self.max_order_delay_ms = 500,
             4 => self.endpoints.get_mut(&endpoint).unwrap().up ^= true,
-            // An endpoint is replaced and holds nothing.
+            // An endpoint is replaced by an empty one.
             5 => self.endpoints.get_mut(&endpoint).unwrap().state = State::default(),
             6 => self.platform.command(&Command::Outage {
                 ms: Some(self.random.random_range(1_000..40_000)),
