--- a/src/platform.rs
+++ b/src/platform.rs
@@ -1,7 +1,7 @@
-//! The translation between the users' platform and this product.
+//! Translation between the platform's formats and the types of this product.
 //!
-//! Only this folder knows the platform's names of fields, headers and paths.
-//! It decodes them once into types of the product, and decides nothing; see
+//! Only this folder uses the platform's names of fields, headers and paths. It decodes them once
+//! into types whose fields say what they hold, and makes no decisions; see
 //! docs/design/platform.md.
 
 pub mod call;
--- a/src/platform/call.rs
+++ b/src/platform/call.rs
@@ -1,5 +1,5 @@
-//! What callers and the platform ask a node, decoded from HTTP, and the answers
-//! that are a node's own.
+//! Decodes the HTTP calls of callers and the platform, and builds the responses that the node
+//! itself gives rather than an endpoint.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -13,62 +13,62 @@
 
 use crate::name::Name;
 
-/// The caller's own identity of a request or of a batch job.
+/// The caller's id of a request or of a batch job.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-attempt-id");
-/// How many milliseconds the caller, or what is left of them, will wait.
+/// How long the caller still waits, in milliseconds.
 pub const TIMEOUT: HeaderName = HeaderName::from_static("x-timeout-ms");
-/// The parts of the prompt, the shared ones first.
-pub const PREFIX: HeaderName = HeaderName::from_static("x-prompt-prefix");
-/// The event behind which a stream goes on.
+/// The prompt's parts, separated by commas, the shared ones first.
+pub const PROMPT_PREFIX: HeaderName = HeaderName::from_static("x-prompt-prefix");
+/// The last event that the caller received; the stream resumes after it.
 pub const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
-/// How long a read may be kept waiting for a result.
+/// How long a read may wait for a result, in milliseconds.
 const WAIT: HeaderName = HeaderName::from_static("x-wait-ms");
 
-const READY: &str = "/-/readyz";
-const RESOLVE: &str = "/-/resolve";
-const LOTS: &str = "/-/lots/";
-const ITEMS: &str = "/-/items/";
-/// What begins the paths of a node's own interface; no route begins so.
-const OWN: &str = "/-/";
+const READINESS_PATH: &str = "/-/readyz";
+const RESOLVE_PATH: &str = "/-/resolve";
+const JOBS_PREFIX: &str = "/-/lots/";
+const ITEMS_PREFIX: &str = "/-/items/";
+/// Prefix of the paths of the node's own interface; no route starts with it.
+const RESERVED_PREFIX: &str = "/-/";
 
-/// What is asked.
+/// A decoded call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// Does this node take callers?
+    /// Readiness check: whether this node accepts callers.
     Ready,
-    /// Which addresses should a caller at this place use?
+    /// Resolves the addresses that a caller at this location should use.
     Resolve(Location),
-    /// A batch job's results.
+    /// Reads a batch job's results.
     ReadResults {
         /// The job.
         job: Name,
-        /// The first position wanted.
+        /// The position of the first result to return.
         after: usize,
         /// How long to wait for a result.
         wait: Duration,
     },
-    /// The body of a batch job's item.
+    /// Reads the body of a batch job's item.
     ReadItemBody {
         /// The job.
         job: Name,
         /// The item.
         item: Name,
     },
-    /// The end of a batch job.
+    /// Ends a batch job.
     EndJob {
         /// The job.
         job: Name,
     },
-    /// A request for an endpoint, or the submission of a batch job.
+    /// A request for an endpoint, or the submission of a batch job, by its route.
     Route {
-        /// The host that the caller names.
+        /// The host of the request, in lower case and without its port.
         host: Name,
     },
-    /// Something that no caller may ask, with why.
+    /// A call that is refused, with the status and the reason.
     Invalid(StatusCode, &'static str),
 }
 
-/// Where a caller is.
+/// The location of a caller.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Location {
     /// Its region.
@@ -77,13 +77,13 @@
     pub zone: Name,
 }
 
-/// Reads what is asked.
+/// Decodes the head of a request.
 pub fn decode(parts: &Parts) -> Call {
     let path = parts.uri.path();
     let query = || query(parts.uri.query().unwrap_or_default());
     match (&parts.method, path) {
-        (&Method::GET, READY) => Call::Ready,
-        (&Method::GET, RESOLVE) => {
+        (&Method::GET, READINESS_PATH) => Call::Ready,
+        (&Method::GET, RESOLVE_PATH) => {
             let mut query = query();
             let mut take = |key| Name::from(query.remove(key).unwrap_or_default());
             Call::Resolve(Location {
@@ -91,27 +91,27 @@
                 zone: take("zone"),
             })
         }
-        (&Method::GET, _) if path.starts_with(LOTS) => {
+        (&Method::GET, _) if path.starts_with(JOBS_PREFIX) => {
             let after = query().remove("after").unwrap_or_else(|| "0".into());
             let Ok(after) = after.parse() else {
                 return Call::Invalid(StatusCode::BAD_REQUEST, "`after` is not a number from 0 up");
             };
             Call::ReadResults {
-                job: path[LOTS.len()..].into(),
+                job: path[JOBS_PREFIX.len()..].into(),
                 after,
                 wait: millis(&parts.headers, &WAIT).unwrap_or_default(),
             }
         }
-        (&Method::DELETE, _) if path.starts_with(LOTS) => Call::EndJob {
-            job: path[LOTS.len()..].into(),
+        (&Method::DELETE, _) if path.starts_with(JOBS_PREFIX) => Call::EndJob {
+            job: path[JOBS_PREFIX.len()..].into(),
         },
-        (&Method::GET, _) if path.starts_with(ITEMS) => Call::ReadItemBody {
-            job: path[ITEMS.len()..].into(),
+        (&Method::GET, _) if path.starts_with(ITEMS_PREFIX) => Call::ReadItemBody {
+            job: path[ITEMS_PREFIX.len()..].into(),
             item: query().remove("id").unwrap_or_default().into(),
         },
-        _ if path.starts_with(OWN) => Call::Invalid(
+        _ if path.starts_with(RESERVED_PREFIX) => Call::Invalid(
             StatusCode::NOT_FOUND,
-            "there is no such call; check the path",
+            "no call has this path; check the path",
         ),
         _ => match host(parts) {
             Some(host) => Call::Route { host },
@@ -120,7 +120,7 @@
     }
 }
 
-/// The host without its port.
+/// Returns the host in lower case, without its port.
 fn host(parts: &Parts) -> Option<Name> {
     let host = parts.headers.get(HOST)?.to_str().ok()?;
     let host = host.rsplit_once(':').map_or(host, |(host, _)| host);
@@ -137,24 +137,24 @@
         .collect()
 }
 
-/// A header that holds milliseconds.
+/// Parses a header that holds milliseconds.
 fn millis(headers: &HeaderMap, name: &HeaderName) -> Option<Duration> {
     let value: f64 = headers.get(name)?.to_str().ok()?.trim().parse().ok()?;
     Duration::try_from_secs_f64(value / 1_000.0).ok()
 }
 
-/// The caller's identity of a request.
+/// Returns the caller's id of the request.
 pub fn request_id(headers: &HeaderMap) -> Option<Name> {
     let value = headers.get(REQUEST_ID)?.to_str().ok()?;
     (!value.is_empty()).then(|| value.into())
 }
 
-/// How long the caller will wait.
+/// Returns how long the caller still waits.
 pub fn timeout(headers: &HeaderMap) -> Option<Duration> {
     millis(headers, &TIMEOUT)
 }
 
-/// The event behind which the caller wants to go on.
+/// Returns the event after which the caller wants to resume the stream.
 pub fn last_event_id(headers: &HeaderMap) -> Option<u64> {
     headers
         .get(LAST_EVENT_ID)?
@@ -165,36 +165,36 @@
         .ok()
 }
 
-/// The parts of the prompt that other requests share, as one text; the last
-/// part is the request's own.
+/// Returns the parts of the prompt that other requests share, as one text; the last part belongs
+/// to this request alone.
 pub fn shared_prefix(headers: &HeaderMap) -> Option<&str> {
-    let parts = headers.get(PREFIX)?.to_str().ok()?;
+    let parts = headers.get(PROMPT_PREFIX)?.to_str().ok()?;
     parts.rsplit_once(',').map(|(shared, _)| shared)
 }
 
 #[derive(Serialize)]
-struct Resolved<'a> {
+struct Resolution<'a> {
     addresses: &'a [Name],
     ttl_s: f64,
 }
 
-/// Which addresses to use, and for how long to keep them.
+/// Builds the directory's answer: the addresses to use and how long to cache them.
 pub fn resolved(addresses: &[Name], ttl: Duration) -> Response<Bytes> {
     json(
         StatusCode::OK,
-        &Resolved {
+        &Resolution {
             addresses,
             ttl_s: ttl.as_secs_f64(),
         },
     )
 }
 
-/// An answer with a JSON body.
+/// Builds a response with a JSON body.
 pub fn json<T>(status: StatusCode, value: &T) -> Response<Bytes>
 where
     T: Serialize,
 {
-    // Plain data always has a JSON form.
+    // Serializing plain data can't fail.
     let body = serde_json::to_vec(value).unwrap_or_default();
     let mut response = Response::new(body.into());
     *response.status_mut() = status;
@@ -204,16 +204,16 @@
 }
 
 #[derive(Serialize)]
-struct Explained<'a> {
+struct ErrorBody<'a> {
     error: &'a str,
 }
 
-/// An error of this node's own.
+/// Builds an error response of this node.
 pub fn error(status: StatusCode, why: &str) -> Response<Bytes> {
-    json(status, &Explained { error: why })
+    json(status, &ErrorBody { error: why })
 }
 
-/// "Not run", and when to come back.
+/// Builds a refusal: the request was not run and may be retried after `retry_after`.
 pub fn refuse(status: StatusCode, why: &str, retry_after: Duration) -> Response<Bytes> {
     let mut response = error(status, why);
     let seconds = format!("{:.3}", retry_after.as_secs_f64());
@@ -223,7 +223,7 @@
     response
 }
 
-/// Asks the caller to open a new connection next time.
+/// Makes the caller open a new connection for its next request.
 pub fn close_connection(headers: &mut HeaderMap) {
     let close = hyper::header::HeaderValue::from_static("close");
     headers.insert(CONNECTION, close);
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -1,4 +1,4 @@
-//! The row that holds the operators' configuration.
+//! Decodes the row that holds the operators' configuration.
 
 use std::fmt;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use crate::catalog::{Config, Kind, Limits, Route, Target, Terms};
 use crate::name::Name;
 
-/// The table of what operators write.
+/// The table of the rows that operators write.
 pub const TABLE: &str = "op";
 /// The key of the newest configuration.
 pub const KEY: &str = "config";
@@ -20,7 +20,7 @@
     version: u64,
     routes: Vec<RouteEntry>,
     limits: LimitEntry,
-    /// The organisations; none where callers need no key.
+    /// The organisations; empty where callers need no key.
     #[serde(default)]
     tenants: Vec<organisation::Entry>,
 }
@@ -51,7 +51,7 @@
     run_goal_ms: f64,
     #[serde(default)]
     queue_ttl_s: f64,
-    /// On batch routes: the most tokens that may wait, 0 for no limit.
+    /// On batch routes: maximum number of waiting tokens, 0 for no limit.
     #[serde(default)]
     max_count: u64,
     /// Callers need no key.
@@ -76,11 +76,11 @@
     1
 }
 
-/// Why a row holds no configuration. It tells where, and not what stands there,
-/// as a parser's own message would: that may be a key.
+/// Why a row could not be decoded as a configuration. It gives only the position: the parser's own
+/// message would quote the text there, which may be a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Unreadable {
-    /// True where it is no JSON at all; else a field is missing or of another type.
+    /// True where the text is not valid JSON; else a field is missing or has the wrong type.
     pub malformed: bool,
     /// The line, from 1.
     pub line: usize,
@@ -91,9 +91,9 @@
 impl fmt::Display for Unreadable {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let what = if self.malformed {
-            "it is no JSON"
+            "the row is not valid JSON"
         } else {
-            "a field is missing or of another type"
+            "a field is missing or has the wrong type"
         };
         write!(f, "{what}, at line {} column {}", self.line, self.column)
     }
@@ -111,10 +111,10 @@
     }
 }
 
-/// Reads a configuration row.
+/// Decodes a configuration row.
 ///
 /// # Errors
-/// When the value is no configuration; the last good one stays in force.
+/// When the value is not a configuration; the caller keeps the last valid one in force.
 pub fn decode(value: &[u8]) -> Result<Config, Unreadable> {
     let document: Document = serde_json::from_slice(value)?;
     Ok(Config {
@@ -145,7 +145,7 @@
             lifetime: millis(entry.queue_ttl_s * 1_000.0),
             waiting_tokens: (entry.max_count > 0).then_some(entry.max_count),
         }),
-        // A kind that is not known here must not be repeated.
+        // Requests of an unknown kind must not be repeated.
         _ => Kind::Once,
     };
     let mut targets: Vec<Target> = entry
@@ -174,7 +174,6 @@
 }
 
 fn millis(value: f64) -> Duration {
-    // A negative or absurd length counts as none; operators' rows are checked
-    // by the store.
+    // A negative or out-of-range duration counts as 0; the store checks operators' rows.
     Duration::try_from_secs_f64(value / 1_000.0).unwrap_or_default()
 }
--- a/src/platform/endpoint.rs
+++ b/src/platform/endpoint.rs
@@ -1,4 +1,4 @@
-//! The rows in which endpoints register themselves.
+//! Decodes the rows in which endpoints register themselves.
 
 use std::net::SocketAddr;
 
@@ -19,8 +19,8 @@
     zone: Name,
     slots: u32,
     state: State,
-    /// Unix time in milliseconds at which the process started. Absent where the
-    /// platform gives each start an id of its own.
+    /// Unix time in milliseconds at which the process started. Absent where the platform gives
+    /// each start its own endpoint id.
     #[serde(default)]
     born: u64,
 }
@@ -32,26 +32,26 @@
     Draining,
 }
 
-/// Why a row names no endpoint to use.
+/// A row that could not be decoded as an endpoint.
 #[derive(Debug)]
 pub struct Unreadable {
-    /// The endpoint that it was to be about.
+    /// The endpoint's id, from the row's key.
     pub id: Name,
     /// The row's version.
     pub version: u64,
-    /// What is wrong with it.
+    /// Why it could not be decoded.
     pub why: String,
 }
 
-/// Reads a row.
+/// Decodes a row.
 ///
 /// # Errors
-/// When its value is no endpoint, such as another writer's.
+/// When its value is not an endpoint, for example because another program wrote the row.
 pub fn from_row(row: &Row) -> Result<Entry, Unreadable> {
     decode(&row.key, row.version, Some(&row.value))
 }
 
-/// Reads a change of a row.
+/// Decodes a change of a row.
 ///
 /// # Errors
 /// As for [`from_row`].
--- a/src/platform/forward.rs
+++ b/src/platform/forward.rs
@@ -1,4 +1,4 @@
-//! Requests as endpoints get them, and what their answers' heads say.
+//! Builds the requests that are sent to endpoints, and classifies the heads of their responses.
 
 use std::time::Duration;
 
@@ -15,14 +15,14 @@
 use crate::catalog::Endpoint;
 use crate::name::Name;
 
-/// Which run of an endpoint is meant; any other refuses.
+/// The endpoint instance that a request is for; any other instance refuses it.
 const INSTANCE: HeaderName = HeaderName::from_static("x-target-instance");
-/// The endpoint did not run the request.
+/// Set by an endpoint that did not run the request.
 const NOT_RUN: HeaderName = HeaderName::from_static("x-not-run");
-/// An endpoint's signature of its answer.
-const STAMP: HeaderName = HeaderName::from_static("x-response-stamp");
-/// Headers that concern one connection only.
-const HOP: [HeaderName; 8] = [
+/// An endpoint's signature of its response.
+const SIGNATURE: HeaderName = HeaderName::from_static("x-response-stamp");
+/// Hop-by-hop headers, which apply to one connection only.
+const HOP_BY_HOP: [HeaderName; 8] = [
     CONNECTION,
     HeaderName::from_static("keep-alive"),
     HeaderName::from_static("proxy-connection"),
@@ -33,23 +33,22 @@
     UPGRADE,
 ];
 
-/// A request that is passed on.
+/// A request to forward to an endpoint.
 #[derive(Clone, Debug)]
 pub struct Forward {
     /// The method.
     pub method: Method,
-    /// The path with its query, as it came.
+    /// The path with its query, unchanged.
     pub path: String,
-    /// The headers that concern the endpoint.
+    /// The end-to-end headers.
     pub headers: HeaderMap,
     /// The whole body.
     pub body: Bytes,
-    /// The caller's identity of the request.
+    /// The caller's id of the request.
     pub id: Name,
 }
 
-/// Removes the headers that concern one connection only, those that
-/// `Connection` names among them.
+/// Removes the hop-by-hop headers, including those that `Connection` lists.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -58,17 +57,18 @@
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named.iter().chain(&HOP) {
+    for name in named.iter().chain(&HOP_BY_HOP) {
         headers.remove(name);
     }
 }
 
 impl Forward {
-    /// The request for `endpoint`, with `left` of the caller's time, going on
-    /// behind the event `last`.
+    /// Builds the request for `endpoint`. `left` is the caller's remaining time; a stream resumes
+    /// after the event `last`.
     ///
     /// # Errors
-    /// When the caller's path is no request target.
+    /// When the caller's path is not a valid request target, or the endpoint's id not a valid
+    /// header value.
     pub fn request(
         &self,
         endpoint: &Endpoint,
@@ -96,11 +96,11 @@
         Ok(request)
     }
 
-    /// The request of a batch item, which carries its own headers and the name of
-    /// the organisation whose job it is of.
+    /// Builds the request of a batch item, with the item's own headers and the name of the
+    /// organisation that submitted the job.
     ///
     /// # Errors
-    /// When a header or the path can't be sent.
+    /// When a header or the path is not valid in HTTP.
     pub fn item(
         host: &str,
         path: &str,
@@ -120,7 +120,7 @@
         map.insert(REQUEST_ID, HeaderValue::try_from(&**id)?);
         strip_hop_by_hop(&mut map);
         super::organisation::set_header(&mut map, organisation);
-        // The path is checked here, so that a wrong one is found at submission.
+        // Checking the path here rejects an invalid one at submission.
         Request::builder().uri(path).body(())?;
         Ok(Self {
             method: Method::POST,
@@ -132,24 +132,25 @@
     }
 }
 
-/// What the head of an endpoint's answer says.
+/// The class of an endpoint's response, from its head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It did not run the request, because it is full.
+    /// The endpoint did not run the request because it is at capacity.
     Full,
-    /// It did not run the request, because another one was meant or it leaves.
+    /// The endpoint did not run the request because it was meant for another instance or because
+    /// the endpoint is leaving.
     Misdirected,
-    /// It belongs to another request.
+    /// The response belongs to another request, or the endpoint did not sign it.
     Unverified,
-    /// It ran the request and failed.
+    /// The endpoint ran the request and failed.
     Failed,
-    /// The request can never be done.
+    /// The request can never succeed; repeating it is useless.
     Unprocessable,
-    /// It answers the request.
+    /// The response answers the request.
     Answer,
 }
 
-/// Reads the head of an answer to the request `id`.
+/// Classifies the head of a response to the request `id`.
 pub fn classify(response: &Response<Incoming>, id: &Name) -> Verdict {
     let headers = response.headers();
     let status = response.status();
@@ -165,8 +166,8 @@
     {
         return Verdict::Unverified;
     }
-    if !headers.contains_key(STAMP) {
-        // Nobody signed it: a broken endpoint's words are no answer.
+    if !headers.contains_key(SIGNATURE) {
+        // Unsigned: a faulty endpoint or an intermediary produced it, so it must not be passed on.
         return Verdict::Unverified;
     }
     if status == StatusCode::UNPROCESSABLE_ENTITY {
@@ -178,7 +179,7 @@
     Verdict::Answer
 }
 
-/// The head of an answer for the caller.
+/// Returns the response's head for the caller, without hop-by-hop headers.
 pub fn head(response: &Response<Incoming>) -> Response<()> {
     let mut head = Response::new(());
     *head.status_mut() = response.status();
@@ -187,7 +188,7 @@
     head
 }
 
-/// True when the answer is a stream of events.
+/// Returns true when the response is a stream of server-sent events.
 pub fn is_stream(headers: &HeaderMap) -> bool {
     headers
         .get(CONTENT_TYPE)
--- a/src/platform/job.rs
+++ b/src/platform/job.rs
@@ -1,4 +1,4 @@
-//! Batch jobs as callers submit and read them.
+//! Decodes batch jobs as callers submit them, and encodes their results.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
@@ -10,7 +10,7 @@
 use crate::batch::item::{Item, State};
 use crate::name::Name;
 
-/// Most items of a job.
+/// Maximum number of items of a job.
 const MAX_ITEMS: usize = 200;
 
 #[derive(Deserialize)]
@@ -26,22 +26,22 @@
     headers: std::collections::BTreeMap<Name, Name>,
     #[serde(default)]
     body: String,
-    /// Tokens of the prompt and the longest output, summed.
+    /// Sum of the prompt's tokens and the maximum output tokens.
     #[serde(default)]
     tokens: u32,
 }
 
-/// Reads the items of a submitted job.
+/// Decodes the items of a submitted job.
 ///
 /// # Errors
-/// What is wrong with it, for its caller.
+/// A message for the caller about what is wrong with the job.
 pub fn decode(body: &[u8]) -> Result<Vec<Item>, String> {
-    let submission: Submission =
-        serde_json::from_slice(body).map_err(|error| format!("the body is no job: {error}"))?;
+    let submission: Submission = serde_json::from_slice(body)
+        .map_err(|error| format!("the body is not a valid job: {error}"))?;
     let entries = submission.requests;
     if entries.is_empty() || entries.len() > MAX_ITEMS {
         return Err(format!(
-            "a job has 1 to {MAX_ITEMS} items, and this one has {}",
+            "a job must have 1 to {MAX_ITEMS} items; this one has {}",
             entries.len()
         ));
     }
@@ -50,7 +50,7 @@
     let count = ids.len();
     ids.dedup();
     if ids.len() < count {
-        return Err("two items have the same id; each needs its own".into());
+        return Err("two items have the same id; give each item its own id".into());
     }
     entries.into_iter().map(item).collect()
 }
@@ -58,15 +58,15 @@
 fn item(entry: Entry) -> Result<Item, String> {
     let body = STANDARD
         .decode(&entry.body)
-        .map_err(|error| format!("the body of item {} is no base64: {error}", entry.id))?;
-    // Items are kept in the store, where no key may lie.
+        .map_err(|error| format!("the body of item {} is not valid base64: {error}", entry.id))?;
+    // Items are written to the store, which must never hold a key.
     if entry
         .headers
         .keys()
         .any(|name| organisation::is_credential(name))
     {
         return Err(format!(
-            "item {} carries a key; only the job's own request does",
+            "item {} carries a key; send the key only with the job's own request",
             entry.id
         ));
     }
@@ -83,33 +83,33 @@
 struct Page<'a> {
     /// The number of items.
     total: usize,
-    /// The position behind the last result of this answer.
+    /// The position after the last result of this page.
     next: usize,
-    results: Vec<Entered<'a>>,
+    results: Vec<ResultEntry<'a>>,
 }
 
 #[derive(Serialize)]
-struct Entered<'a> {
+struct ResultEntry<'a> {
     id: &'a str,
     state: &'static str,
     output: &'a str,
 }
 
-/// One result as a reader gets it.
+/// One result of a page.
 pub struct Listed<'a> {
-    /// The item.
+    /// The item's id.
     pub id: &'a str,
-    /// What became of it.
+    /// The item's final state.
     pub state: State,
-    /// Its output; empty unless it is done.
+    /// The item's output; empty unless it is done.
     pub output: &'a str,
 }
 
-/// A page of results that begins at the position `after`.
+/// Builds a page of results that starts at the position `after`.
 pub fn page(total: usize, after: usize, results: &[Listed<'_>]) -> Response<Bytes> {
-    let entered = results
+    let entries = results
         .iter()
-        .map(|result| Entered {
+        .map(|result| ResultEntry {
             id: result.id,
             state: match result.state {
                 State::Done => "complete",
@@ -121,12 +121,12 @@
     let page = Page {
         total,
         next: after + results.len(),
-        results: entered,
+        results: entries,
     };
     call::json(StatusCode::OK, &page)
 }
 
-/// "The job is kept."
+/// Builds the response to a submission whose job is stored.
 pub fn accepted() -> Response<Bytes> {
     let mut response = Response::new(Bytes::new());
     *response.status_mut() = StatusCode::ACCEPTED;
--- a/src/platform/organisation.rs
+++ b/src/platform/organisation.rs
@@ -1,4 +1,4 @@
-//! Organisations and their keys, as operators write them and callers show them.
+//! Decodes organisations and their keys from the configuration, and callers' keys from requests.
 
 use std::sync::Arc;
 
@@ -14,14 +14,14 @@
 use crate::limit::Rate;
 use crate::name::Name;
 
-/// Which organisation a request is of; only this system may say so.
+/// Names the organisation of a request to endpoints. A caller's own value is always removed.
 const ORGANISATION: HeaderName = HeaderName::from_static("x-tenant");
-/// The scheme of a key; its letter case does not matter.
+/// The authorization scheme of a key, case-insensitive.
 const SCHEME: &str = "token";
 
-/// A field that may be of another type than it should be. A configuration is not
-/// refused for one organisation's sake: others' keys may be revoked by it. What
-/// can't be read is left out, and no message shows it, because it may be a key.
+/// A field that may have the wrong type. One organisation's mistake must not reject the whole
+/// configuration, which may revoke other organisations' keys. A value that can't be read is left
+/// out, and no message quotes it, because it may be a key.
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum Lenient<T> {
@@ -50,15 +50,15 @@
     api_keys: Option<Lenient<Vec<Lenient<Key>>>>,
     #[serde(default)]
     priority: Option<Lenient<u8>>,
-    /// Requests a second over all nodes; 0 or none is no limit.
+    /// Requests a second over all nodes; no limit where it is 0 or absent.
     #[serde(default)]
     rate_per_s: Option<Lenient<f64>>,
-    /// Requests at once beside the rate.
+    /// Requests that may come at once on top of the rate.
     #[serde(default)]
     burst: Option<Lenient<f64>>,
 }
 
-/// The keyring of a configuration's organisations; none where it names none.
+/// Builds the keyring of a configuration's organisations; none where there are none.
 pub fn keyring(entries: Vec<Entry>) -> Option<Keyring> {
     if entries.is_empty() {
         return None;
@@ -75,8 +75,8 @@
     Some(keyring)
 }
 
-/// An organisation whose name or keys can't be read has no keys; one whose limit
-/// can't be read has none.
+/// Decodes one organisation. One whose name can't be read is left out, keys that can't be read
+/// are left out, and a limit that can't be read is no limit.
 fn holder(entry: Entry) -> Option<Holder> {
     let named = entry.0.read();
     let valid = named.filter(|it| !it.name.is_empty() && HeaderValue::from_str(&it.name).is_ok());
@@ -95,11 +95,11 @@
         })
         .collect();
     if written.is_none() || keys.len() < count {
-        unreadable(&named.name, "keys");
+        log_unreadable(&named.name, "keys");
     }
     let priority = match named.priority.map(Lenient::read) {
         Some(None) => {
-            unreadable(&named.name, "priority");
+            log_unreadable(&named.name, "priority");
             None
         }
         other => other.flatten(),
@@ -120,42 +120,46 @@
     })
 }
 
-/// A number above 0; none where it is 0, missing or can't be one.
+/// Returns a number above 0; none where it is 0, absent or unreadable.
 fn number(organisation: &str, field: &str, value: Option<Lenient<f64>>) -> Option<f64> {
     let value = value?.read().filter(|it| it.is_finite() && *it >= 0.0);
     if value.is_none() {
-        unreadable(organisation, field);
+        log_unreadable(organisation, field);
     }
     value.filter(|it| *it > 0.0)
 }
 
-fn unreadable(organisation: &str, why: &str) {
+fn log_unreadable(organisation: &str, why: &str) {
     log::warn!(
         "{} organisation={organisation} why={why}",
         event::ORGANISATION_UNREADABLE
     );
 }
 
-/// Takes a caller's key out of a request: no endpoint may see it.
+/// Removes the caller's key from a request: endpoints must not see it.
 pub fn remove_credential(headers: &mut HeaderMap) {
     headers.remove(AUTHORIZATION);
 }
 
-/// What a caller shows of itself.
+/// Reads the credential that a caller sent.
 pub fn credential(headers: &HeaderMap) -> Credential {
     let mut values = headers.get_all(AUTHORIZATION).iter();
     let Some(value) = values.next() else {
         return Credential::None;
     };
     if values.next().is_some() {
-        return Credential::Unreadable("two Authorization headers; send one");
+        return Credential::Unreadable("more than one Authorization header; send one");
     }
     let Ok(text) = value.to_str() else {
-        return Credential::Unreadable("the Authorization header is no text");
+        return Credential::Unreadable(
+            "the Authorization header is not printable ASCII; write `Authorization: Token KEY`",
+        );
     };
     let (scheme, key) = text.trim().split_once([' ', '\t']).unwrap_or((text, ""));
     if !scheme.eq_ignore_ascii_case(SCHEME) {
-        return Credential::Unreadable("another scheme; write `Authorization: Token KEY`");
+        return Credential::Unreadable(
+            "unsupported authorization scheme; write `Authorization: Token KEY`",
+        );
     }
     Key::new(key.trim()).map_or(
         Credential::Unreadable("the key is empty or too long"),
@@ -163,8 +167,8 @@
     )
 }
 
-/// Names a request's organisation to endpoints, whatever its caller said of it.
-/// A name that can't be a header's value is in no keyring.
+/// Sets the header that names a request's organisation to endpoints, and replaces any value that
+/// the caller sent. Names that are not valid header values are never in a keyring.
 pub fn set_header(headers: &mut HeaderMap, organisation: Option<&str>) {
     headers.remove(ORGANISATION);
     let value = organisation.and_then(|name| HeaderValue::from_str(name).ok());
@@ -173,7 +177,7 @@
     }
 }
 
-/// True when a header of that name shows a key.
+/// Returns true when the header of that name carries a key.
 pub fn is_credential(header: &str) -> bool {
     header.eq_ignore_ascii_case(AUTHORIZATION.as_str())
 }
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -14,25 +14,25 @@
 use crate::settings::document::{self, Entry, Faults, Section};
 use crate::site::{Bounds, Listen, Site, Store};
 
-/// The environment variable that holds the path of the settings file.
+/// Environment variable with the path of the settings file.
 const PATH_VARIABLE: &str = "AUBURNSPOKE_BOOT";
-/// Ports that a node takes beside those of its listeners: two for datagrams of
-/// admission, one for links.
-const OWN_PORTS: u16 = 3;
-/// Most cores of a VM, and so the largest part of a core that a process may get.
-const MOST_CORES: f64 = 60.0;
-/// Longest time that the file may name, in seconds.
-const LONGEST: f64 = 86_400.0;
-/// For how long results are kept where there are no batch jobs to say so.
-const RESULTS: Duration = Duration::from_secs(120);
-/// Within how many milliseconds a revocation is in force where none are named.
-const REVOKE_MS: f64 = 5_000.0;
-/// Largest part or number of requests by which a count may be off.
-const MOST_TOLERATED: f64 = 1_000_000.0;
-/// For how long a directory's answer may be kept where no bound is set.
-const DIRECTORY_TTL: Duration = Duration::from_secs(5);
-
-/// The path of the settings file, from the environment.
+/// Number of ports that a node takes from the port range: two for admission datagrams and one for
+/// links.
+const NODE_PORTS: u16 = 3;
+/// Maximum number of cores of a VM, and so of the processor share of one process.
+const MAX_CORES: f64 = 60.0;
+/// Maximum duration in the file, in seconds.
+const MAX_DURATION_S: f64 = 86_400.0;
+/// How long results stay readable where the file has no value, as without batch jobs.
+const RESULT_RETENTION: Duration = Duration::from_secs(120);
+/// Default of the maximum delay after which a revocation is in force, in milliseconds.
+const REVOCATION_DELAY_MS: f64 = 5_000.0;
+/// Maximum tolerated excess of a limit, as a fraction or a number of requests.
+const MAX_TOLERANCE: f64 = 1_000_000.0;
+/// How long callers may cache a directory's answer where the file sets no bound.
+const MAX_DIRECTORY_TTL: Duration = Duration::from_secs(5);
+
+/// Returns the path of the settings file, from the environment.
 ///
 /// # Errors
 /// When the variable is not set.
@@ -45,31 +45,31 @@
 /// Reads the settings file.
 ///
 /// # Errors
-/// When it can't be read; else [`Invalid`] names everything that is wrong.
+/// When the file can't be read; otherwise [`Invalid`] lists every problem in it.
 pub fn read(path: &Path) -> Result<Site> {
     let text = std::fs::read_to_string(path)
         .wrap_err_with(|| format!("can't read the settings file {}", path.display()))?;
-    parse(&text).wrap_err_with(|| format!("the settings file {} is wrong", path.display()))
+    parse(&text).wrap_err_with(|| format!("the settings file {} is invalid", path.display()))
 }
 
-/// True when a text is a file of this format, and not of the product's own: the
-/// node's name stands at the top, where the product's own has a table.
+/// Returns true when a text has the platform's format rather than the product's own: `node` is the
+/// node's name here, and a table in the product's own format.
 pub fn is_platform_format(text: &str) -> bool {
     let (table, _) = DeTable::parse_recoverable(text);
     let node = table.get_ref().get("node");
     node.is_some_and(|node| !matches!(node.get_ref(), DeValue::Table(_)))
 }
 
-/// Reads settings out of text; fields that are not known are ignored, because
-/// the platform adds some at any time.
+/// Parses a settings file. Unknown fields are ignored, because the platform may add some at any
+/// time.
 ///
 /// # Errors
-/// [`Invalid`] names everything that is wrong, not only the first.
+/// [`Invalid`] lists every problem, not only the first one.
 pub fn parse(text: &str) -> Result<Site, Invalid> {
     document::parse(text, |mut root, faults| site(&mut root, faults))
 }
 
-/// Every part is read before one that failed gives up the whole.
+/// Reads every part before it fails, so that one pass reports all problems.
 fn site(root: &mut Section<'_>, faults: &mut Faults) -> Option<Site> {
     let node = name(root, "node", "\"edge-1\"", faults);
     let zone = name(root, "zone", "\"zone-1\"", faults);
@@ -83,7 +83,7 @@
     let mut limits = root.section("limits", faults);
     let cpu_millicores = limits
         .require("cpu_share", "0.5", faults)
-        .and_then(|entry| entry.decimal((0.001, MOST_CORES), faults))
+        .and_then(|entry| entry.decimal((0.001, MAX_CORES), faults))
         .map(thousandths);
     let bounds = bounds(root.section("bounds", faults), faults);
     let store = store(root.section("platform", faults), faults);
@@ -116,7 +116,7 @@
         return Some(BTreeMap::new());
     };
     let DeValue::Table(table) = entry.value else {
-        entry.fault(faults, "write a table that names the region of each zone");
+        entry.fault(faults, "write a table that maps each zone to its region");
         return None;
     };
     let pairs = table.iter().map(|(zone, region)| {
@@ -125,23 +125,23 @@
     });
     let zones: Option<BTreeMap<Name, Name>> = pairs.collect();
     if zones.is_none() {
-        entry.fault(faults, "each zone's region is a string in quotes");
+        entry.fault(faults, "write each zone's region as a string in quotes");
     }
     zones
 }
 
-/// First and last of the ports that are free for traffic between nodes.
+/// Reads the range of ports for traffic between nodes, and returns its first one.
 fn ports(entry: &Entry<'_>, faults: &mut Faults) -> Option<u16> {
     let both: Option<Vec<u16>> = entry.value.as_array().and_then(|ports| {
         let port = |value: &DeValue<'_>| value.as_integer()?.as_str().parse().ok();
         ports.iter().map(|value| port(value.get_ref())).collect()
     });
     match both.as_deref() {
-        Some([first, last]) if *last >= *first && last - first + 1 >= OWN_PORTS => Some(*first),
+        Some([first, last]) if *last >= *first && last - first + 1 >= NODE_PORTS => Some(*first),
         _ => {
             entry.fault(
                 faults,
-                format!("write the first and last of at least {OWN_PORTS} free ports"),
+                format!("write the first and last of at least {NODE_PORTS} free ports"),
             );
             None
         }
@@ -196,19 +196,19 @@
         Some(entry) => seconds(&entry, faults),
         None => Some(usual),
     };
-    let result_retention = optional("status_s", RESULTS, faults);
-    let directory_ttl = optional("ttl_max_s", DIRECTORY_TTL, faults);
+    let result_retention = optional("status_s", RESULT_RETENTION, faults);
+    let directory_ttl = optional("ttl_max_s", MAX_DIRECTORY_TTL, faults);
     let window = optional("quota_window_s", Tolerance::default().window, faults);
     let strict = match section.entry("strict_revoke") {
         Some(entry) => entry.truth(faults),
         None => Some(false),
     };
     let revoke = match section.entry("revoke_ms") {
-        Some(entry) => entry.decimal((0.0, LONGEST * 1_000.0), faults),
-        None => Some(REVOKE_MS),
+        Some(entry) => entry.decimal((0.0, MAX_DURATION_S * 1_000.0), faults),
+        None => Some(REVOCATION_DELAY_MS),
     };
     let mut part = |key, faults: &mut Faults| match section.entry(key) {
-        Some(entry) => entry.decimal((0.0, MOST_TOLERATED), faults),
+        Some(entry) => entry.decimal((0.0, MAX_TOLERANCE), faults),
         None => Some(0.0),
     };
     let excess = part("quota_excess", faults);
@@ -227,14 +227,14 @@
 }
 
 fn store(mut section: Section<'_>, faults: &mut Faults) -> Option<Store> {
-    /// Largest value of a row that a store may name, in bytes.
-    const MOST: usize = 1024 * 1024 * 1024;
+    /// Largest maximum row size that the file may set, in bytes.
+    const MAX_ROW_BYTES: usize = 1024 * 1024 * 1024;
     let address = section
         .require("address", "\"10.0.9.1:8169\"", faults)
         .and_then(|entry| entry.address(faults));
     let row_bytes = section
         .require("row_bytes", "65536", faults)
-        .and_then(|entry| entry.number((1, MOST), faults));
+        .and_then(|entry| entry.number((1, MAX_ROW_BYTES), faults));
     Some(Store {
         address: address?,
         row_bytes: row_bytes?,
@@ -242,12 +242,12 @@
 }
 
 fn seconds(entry: &Entry<'_>, faults: &mut Faults) -> Option<Duration> {
-    let seconds = entry.decimal((0.0, LONGEST), faults)?;
+    let seconds = entry.decimal((0.0, MAX_DURATION_S), faults)?;
     Some(Duration::from_secs_f64(seconds))
 }
 
 fn thousandths(share: f64) -> u16 {
-    // Within the bounds that were checked.
+    // The value was checked against the bounds above.
     #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     let thousandths = (share * 1_000.0) as u16;
     thousandths
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -1,8 +1,7 @@
-//! The client of the platform's store: rows, their changes, and objects.
+//! Client of the platform's store: rows, their changes, and objects.
 //!
-//! A key of the product, `table/rest`, is the row `rest` of the table `table`.
-//! All rows but the nodes' lie in one part, so that any of them may change
-//! together.
+//! A key of this product, `table/rest`, is the row `rest` of the table `table`. All rows except the
+//! nodes' are in one part, so that one transaction may change any of them together.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -24,37 +23,37 @@
 
 mod feed;
 mod object;
-mod pace;
 mod row;
+mod timeout;
 
-use pace::Pace;
-use row::{Expected, RowEntry, RowKey, RowsAnswer, SetRow, TxCall};
+use row::{Expected, RowEntry, RowKey, RowsAnswer, SetRow, TransactionCall};
+use timeout::Timeout;
 
-/// A VM that is cut off from the store hears nothing; a store that is up
-/// accepts a connection within a few milliseconds.
+/// A VM that is partitioned from the store gets no reply at all; a store that is up accepts a
+/// connection within a few milliseconds.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// A connection that was idle for longer may have gone silent; a new one costs
-/// less than a call that hangs.
-const IDLE: Duration = Duration::from_secs(4);
-/// Idle connections that are kept.
-const KEPT: usize = 4;
-/// When to come back after the store refused.
+/// A connection that was idle for longer may be dead without notice; opening a new one costs less
+/// than a call that hangs.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Maximum number of idle connections in the pool.
+const MAX_IDLE_CONNECTIONS: usize = 4;
+/// Delay before a retry after the store refused a call.
 const REFUSED_RETRY: Duration = Duration::from_millis(200);
-/// Longest wait for a whole page of rows. Three in a row that are lost are found
-/// within the time after which a node asks others for what they know.
+/// Timeout of a read of a whole page of rows. Three losses in a row are detected within the time
+/// after which a node asks its peers for their state.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Largest answer; the store sends at most 1 MB of rows and 8 MiB of an object.
-const MAX_ANSWER: usize = 24 * 1024 * 1024;
-/// What is written as it is in a path or a query.
+/// Maximum size of an answer; the store sends at most 1 MB of rows and 8 MiB of an object.
+const MAX_ANSWER_BYTES: usize = 24 * 1024 * 1024;
+/// The characters to percent-encode in a path or a query.
 const ESCAPED: &AsciiSet = &NON_ALPHANUMERIC
     .remove(b'-')
     .remove(b'.')
     .remove(b'_')
     .remove(b'~');
-/// Most rows of one answer.
-const PAGE: usize = 500;
+/// Maximum number of rows of one answer.
+const MAX_PAGE_ROWS: usize = 500;
 
-/// A client for one thread; clones share its connections.
+/// A client for one thread; its clones share its connections.
 #[derive(Clone, Debug)]
 pub struct Client {
     inner: Rc<Inner>,
@@ -64,36 +63,36 @@
 struct Inner {
     address: SocketAddr,
     idle: RefCell<Vec<(Instant, Conn)>>,
-    /// How long an answer about rows usually takes.
-    rows: Pace,
-    /// How long an answer about objects usually takes.
-    objects: Pace,
+    /// Adaptive timeout of row calls.
+    rows: Timeout,
+    /// Adaptive timeout of object calls.
+    objects: Timeout,
 }
 
-/// An answer with its status.
+/// The status and body of an answer.
 struct Answer {
     status: StatusCode,
     body: Bytes,
 }
 
-/// Keys of a table; an empty bound is none.
+/// A range of a table's keys; an empty bound is no bound.
 struct Range<'a> {
     from: &'a str,
-    /// The first key that is not wanted.
+    /// The first key after the range.
     to: &'a str,
     limit: usize,
 }
 
 impl Client {
-    /// A client of the store at `address`.
+    /// Creates a client of the store at `address`.
     pub fn new(address: SocketAddr) -> Self {
         let idle = RefCell::default();
         Self {
             inner: Rc::new(Inner {
                 address,
                 idle,
-                rows: Pace::rows(),
-                objects: Pace::objects(),
+                rows: Timeout::rows(),
+                objects: Timeout::objects(),
             }),
         }
     }
@@ -106,21 +105,21 @@
         limit: Duration,
     ) -> Result<Answer, Fault> {
         let deadline = Instant::now() + limit;
-        // An idle connection may prove closed before anything was sent; then a
-        // new one is tried once.
+        // An idle connection may turn out to be closed before anything is sent; the call is
+        // then repeated once over a new one.
         if let Some(conn) = self.take_idle() {
             match self.exchange(conn, &method, path, &body, deadline).await {
                 Err(Failure::Unsent(_)) => {}
-                other => return other.map_err(|why| lost(path, &why)),
+                other => return other.map_err(|why| log_lost(path, &why)),
             }
         }
         let conn = connect::open(self.inner.address, CONNECT_TIMEOUT.min(limit))
             .await
-            .map_err(|why| refused(path, &why))?;
+            .map_err(|why| log_refused(path, &why))?;
         match self.exchange(conn, &method, path, &body, deadline).await {
             Ok(answer) => Ok(answer),
-            Err(why @ Failure::Unsent(_)) => Err(refused(path, &why)),
-            Err(why @ Failure::Broken(_)) => Err(lost(path, &why)),
+            Err(why @ Failure::Unsent(_)) => Err(log_refused(path, &why)),
+            Err(why @ Failure::Broken(_)) => Err(log_lost(path, &why)),
         }
     }
 
@@ -142,7 +141,7 @@
         let exchange = async {
             let response = conn.send(request).await?;
             let status = response.status();
-            let body = Limited::new(response.into_body(), MAX_ANSWER)
+            let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES)
                 .collect()
                 .await
                 .map_err(|error| Failure::Broken(error.to_string()))?
@@ -151,7 +150,7 @@
         };
         let answer = timeout_at(deadline, exchange)
             .await
-            .unwrap_or_else(|_| Err(Failure::Broken("no answer came in time".into())))?;
+            .unwrap_or_else(|_| Err(Failure::Broken("no answer before the deadline".into())))?;
         self.keep(conn);
         Ok(answer)
     }
@@ -159,7 +158,7 @@
     fn take_idle(&self) -> Option<Conn> {
         let mut idle = self.inner.idle.borrow_mut();
         while let Some((since, conn)) = idle.pop() {
-            if conn.is_open() && since.elapsed() < IDLE {
+            if conn.is_open() && since.elapsed() < IDLE_TIMEOUT {
                 return Some(conn);
             }
         }
@@ -168,12 +167,12 @@
 
     fn keep(&self, conn: Conn) {
         let mut idle = self.inner.idle.borrow_mut();
-        if conn.is_open() && idle.len() < KEPT {
+        if conn.is_open() && idle.len() < MAX_IDLE_CONNECTIONS {
             idle.push((Instant::now(), conn));
         }
     }
 
-    /// Reads one page of a table's rows of a range of keys.
+    /// Reads one page of the rows of a table within a range of keys.
     async fn rows(&self, table: &str, range: Range<'_>) -> Result<RowsAnswer, Fault> {
         let bound = |name, key: &str| match key {
             "" => String::new(),
@@ -181,12 +180,12 @@
         };
         let from = bound("from", range.from);
         let to = bound("to", range.to);
-        let part = part_of(table);
+        let part = partition(table);
         let (table, limit) = (escape(table), range.limit);
         let path = format!("/-/rows-get?table={table}&part={part}&limit={limit}{from}{to}");
         let answer = match range.limit {
-            PAGE => self.long(&path).await?,
-            _ => self.quick(Method::GET, &path, Bytes::new()).await?,
+            MAX_PAGE_ROWS => self.read_page(&path).await?,
+            _ => self.call_rows(Method::GET, &path, Bytes::new()).await?,
         };
         match answer.status {
             StatusCode::OK => parse(&path, &answer.body),
@@ -194,56 +193,61 @@
         }
     }
 
-    /// A call that takes about as long each time.
-    async fn paced(
+    /// Sends a call with an adaptive timeout, and updates it with the call's latency or loss.
+    async fn call_with(
         &self,
-        pace: &Pace,
+        timeout: &Timeout,
         method: Method,
         path: &str,
         body: Bytes,
     ) -> Result<Answer, Fault> {
         let began = Instant::now();
-        let answer = self.call(method, path, body, pace.limit()).await;
+        let answer = self.call(method, path, body, timeout.current()).await;
         match &answer {
-            Ok(_) => pace.answered(began.elapsed()),
-            Err(Fault::Unknown) => pace.lost(),
+            Ok(_) => timeout.record_answer(began.elapsed()),
+            Err(Fault::Unknown) => timeout.record_loss(),
             Err(_) => {}
         }
         answer
     }
 
-    async fn quick(&self, method: Method, path: &str, body: Bytes) -> Result<Answer, Fault> {
-        self.paced(&self.inner.rows, method, path, body).await
+    async fn call_rows(&self, method: Method, path: &str, body: Bytes) -> Result<Answer, Fault> {
+        self.call_with(&self.inner.rows, method, path, body).await
     }
 
-    /// Reads a whole page. It may have 200 KB, which take 50 ms on a small VM's
-    /// link, and longer while all nodes that have restarted read theirs. Taken
-    /// for lost too early, it is sent for nothing and asked for again, which keeps
-    /// the links full.
-    async fn long(&self, path: &str) -> Result<Answer, Fault> {
+    /// Reads a whole page. A page may have 200 KB, which take 50 ms on a small VM's link, and
+    /// longer while all nodes read theirs after a restart. With a shorter timeout, pages in
+    /// transit would be dropped and requested again, which keeps the links saturated.
+    async fn read_page(&self, path: &str) -> Result<Answer, Fault> {
         self.call(Method::GET, path, Bytes::new(), PAGE_TIMEOUT)
             .await
     }
 
-    async fn object(&self, method: Method, path: String, body: Bytes) -> Result<Answer, Fault> {
-        self.paced(&self.inner.objects, method, &path, body).await
+    async fn call_object(
+        &self,
+        method: Method,
+        path: String,
+        body: Bytes,
+    ) -> Result<Answer, Fault> {
+        self.call_with(&self.inner.objects, method, &path, body)
+            .await
     }
 }
 
-fn lost(path: &str, why: &Failure) -> Fault {
+fn log_lost(path: &str, why: &Failure) -> Fault {
     log::debug!("{} path={path} why=\"{why}\"", event::STORE_CALL_LOST);
     Fault::Unknown
 }
 
-fn refused(path: &str, why: &Failure) -> Fault {
+fn log_refused(path: &str, why: &Failure) -> Fault {
     log::debug!("{} path={path} why=\"{why}\"", event::STORE_CALL_REFUSED);
     Fault::Refused {
         retry_after: REFUSED_RETRY,
     }
 }
 
-/// What a status says where the call's own success was expected. The store
-/// promises that it did nothing at all of these but the unknown ones.
+/// Maps an unexpected status to a fault. The store guarantees that a call had no effect when it
+/// answers with one of the statuses listed here; after any other one the effect is unknown.
 fn unexpected(path: &str, status: StatusCode) -> Fault {
     log::debug!("{} path={path} status={status}", event::STORE_CALL_REFUSED);
     if status.is_client_error()
@@ -274,10 +278,10 @@
     })
 }
 
-/// The part of a table. A part takes some 200 transactions a second; when all
-/// nodes start again, their rows would wait behind the jobs that they take over,
-/// and be refused.
-fn part_of(table: &str) -> &str {
+/// Returns the part that holds a table. A part takes some 200 transactions a second. When all nodes
+/// restart at once, their rows would queue in the same part successor the jobs that they take over,
+/// and would be refused.
+fn partition(table: &str) -> &str {
     match table {
         member::TABLE => member::TABLE,
         _ => "",
@@ -288,7 +292,7 @@
     let (table, key) = key.split_once('/').unwrap_or((key, ""));
     RowKey {
         table: table.into(),
-        part: part_of(table).into(),
+        part: partition(table).into(),
         key: key.into(),
     }
 }
@@ -324,7 +328,7 @@
             let row = row_key(&check.key);
             expect_rev.push(Expected { row, ver });
         }
-        let mut call = TxCall {
+        let mut call = TransactionCall {
             expect_rev,
             set_keys: Vec::new(),
             remove: Vec::new(),
@@ -340,7 +344,7 @@
             }
         }
         let body = serde_json::to_vec(&call).map_err(|_| Fault::Unknown)?;
-        let answer = self.quick(Method::POST, PATH, body.into()).await?;
+        let answer = self.call_rows(Method::POST, PATH, body.into()).await?;
         match answer.status {
             StatusCode::OK => parse::<RowsAnswer>(PATH, &answer.body).map(|answer| answer.ver),
             StatusCode::PRECONDITION_FAILED => {
@@ -355,7 +359,7 @@
         let row = row_key(key);
         let range = Range {
             from: &row.key,
-            to: &behind(&row.key),
+            to: &successor(&row.key),
             limit: 1,
         };
         let answer = self.rows(&row.table, range).await?;
@@ -374,14 +378,14 @@
         let from = if after.is_empty() {
             start.key.clone()
         } else {
-            behind(&row_key(after).key)
+            successor(&row_key(after).key)
         };
-        // Without a bound the store would go on with other prefixes' rows, and a
-        // reader of one job's results would pay for all later jobs'.
+        // Without an upper bound the store would return the rows of other prefixes as well, and
+        // reading one job's results would cost as much as those of all later jobs.
         let range = Range {
             from: &from,
-            to: &past(&start.key),
-            limit: limit.min(PAGE),
+            to: &prefix_end(&start.key),
+            limit: limit.min(MAX_PAGE_ROWS),
         };
         let answer = self.rows(&start.table, range).await?;
         let mut page = Page {
@@ -399,19 +403,19 @@
     }
 }
 
-/// A text that sorts after `key` and before every longer key: keys are made of
-/// letters, digits, `-`, `.`, `/` and `_`, which all sort behind the mark.
-fn behind(key: &str) -> String {
+/// Returns a text that sorts after `key` and before every longer key that starts with it: keys
+/// consist of letters, digits, `-`, `.`, `/` and `_`, which all sort after `!`.
+fn successor(key: &str) -> String {
     format!("{key}!")
 }
 
-/// A text that sorts after every key that begins with `prefix`, and before those
-/// that sort behind them; keys have no character that sorts after the mark.
-fn past(prefix: &str) -> String {
+/// Returns a text that sorts after every key that starts with `prefix` and before all later keys;
+/// no character of a key sorts after `~`.
+fn prefix_end(prefix: &str) -> String {
     format!("{prefix}~")
 }
 
-/// The first check that failed, as far as the store's rows tell.
+/// Returns the conflict of the first check that failed according to the rows in the store's answer.
 fn conflict(expected: &[Expected], rows: &[RowEntry]) -> Fault {
     let present = |row: &RowKey| {
         rows.iter()
@@ -429,7 +433,7 @@
 }
 
 impl Client {
-    /// Reads one row; [`Table::get`] under a name that objects don't share.
+    /// Reads one row: [`Table::get`] under a name that does not clash with that of objects.
     ///
     /// # Errors
     /// As for [`Table::get`].
@@ -437,7 +441,7 @@
         Table::get(self, key).await
     }
 
-    /// Reads an object; [`Store::get`] under a name that rows don't share.
+    /// Reads an object: [`Store::get`] under a name that does not clash with that of rows.
     ///
     /// # Errors
     /// As for [`Store::get`].
--- a/src/platform/store/feed.rs
+++ b/src/platform/store/feed.rs
@@ -1,4 +1,4 @@
-//! Following tables of the store.
+//! The change feeds of the store's tables.
 
 use std::time::Duration;
 
@@ -6,17 +6,16 @@
 use hyper::{Method, StatusCode};
 
 use super::row::RowsAnswer;
-use super::{Client, PAGE, Range, behind, escape, parse, unexpected, value_of};
+use super::{Client, MAX_PAGE_ROWS, Range, escape, parse, successor, unexpected, value_of};
 use crate::clock::Uptime;
 use crate::table::{Change, Changes, Fault, Feed, FeedError, Row, Snapshot};
 
-/// How much longer than it should wait a feed may take. A connection that went
-/// silent is found within this, so that a node learns of a leaving endpoint in
-/// time over a new one.
-const FEED_SLACK: Duration = Duration::from_millis(600);
+/// How much longer than its requested wait a feed call may take. A dead connection is detected
+/// within this time, so that the node still learns of a leaving endpoint in time over a new one.
+const FEED_MARGIN: Duration = Duration::from_millis(600);
 
-/// Pages that may be lost before a whole reading is given up.
-const PAGE_TRIES: u32 = 3;
+/// Number of lost pages after which a snapshot fails.
+const MAX_PAGE_RETRIES: u32 = 3;
 
 impl Feed for Client {
     async fn snapshot(&self, table: &str) -> Result<Snapshot, Fault> {
@@ -25,27 +24,27 @@
             ..Snapshot::default()
         };
         let mut from = String::new();
-        let mut tries = 0;
+        let mut retries = 0;
         loop {
             let range = Range {
                 from: &from,
                 to: "",
-                limit: PAGE,
+                limit: MAX_PAGE_ROWS,
             };
             let answer = match self.rows(table, range).await {
-                // Only this page is asked for again: at 3,000 endpoints there are
-                // six, and to begin with the first one would double the bytes.
-                // A first page that is lost is told: entries may lapse while the
-                // store is away, and who follows must know that it was.
-                Err(Fault::Unknown) if tries < PAGE_TRIES && !from.is_empty() => {
-                    tries += 1;
+                // Requests only this page again: 3,000 endpoints take six pages, and starting
+                // over with the first one would double the bytes. The loss of a first page is
+                // returned, because entries may expire while the store is unreachable, and the
+                // follower has to notice that it was.
+                Err(Fault::Unknown) if retries < MAX_PAGE_RETRIES && !from.is_empty() => {
+                    retries += 1;
                     continue;
                 }
                 answer => answer?,
             };
             if snapshot.version == 0 {
-                // Later pages may be newer; following on from the first page
-                // tells their changes once more, which is harmless.
+                // Later pages may be newer. Following from the first page's version delivers
+                // their changes again, which is harmless.
                 snapshot.version = answer.ver;
                 snapshot.clock = answer.now_ms;
             }
@@ -57,7 +56,7 @@
                 });
             }
             match answer.rows.last() {
-                Some(last) if answer.truncated => from = behind(&last.key),
+                Some(last) if answer.truncated => from = successor(&last.key),
                 _ => return Ok(snapshot),
             }
         }
@@ -76,7 +75,7 @@
             wait.as_millis()
         );
         let answer = self
-            .call(Method::GET, &path, Bytes::new(), wait + FEED_SLACK)
+            .call(Method::GET, &path, Bytes::new(), wait + FEED_MARGIN)
             .await
             .map_err(FeedError::Fault)?;
         match answer.status {
--- a/src/platform/store/row.rs
+++ b/src/platform/store/row.rs
@@ -1,21 +1,21 @@
-//! Rows as the store's calls and answers carry them.
+//! The JSON forms of rows in the store's calls and answers.
 
 use serde::{Deserialize, Serialize};
 
-/// A transaction: all of it takes effect, or nothing.
+/// An atomic transaction.
 #[derive(Serialize)]
-pub(super) struct TxCall {
+pub(super) struct TransactionCall {
     pub(super) expect_rev: Vec<Expected>,
     pub(super) set_keys: Vec<SetRow>,
     pub(super) remove: Vec<RowKey>,
 }
 
-/// A row and the version that it must have.
+/// A precondition: the version that a row must have.
 #[derive(Serialize)]
 pub(super) struct Expected {
     #[serde(flatten)]
     pub(super) row: RowKey,
-    /// 0: the row must not exist.
+    /// 0 where the row must not exist.
     pub(super) ver: u64,
 }
 
@@ -27,7 +27,7 @@
     pub(super) value: String,
 }
 
-/// Where a row is.
+/// The address of a row.
 #[derive(Serialize)]
 pub(super) struct RowKey {
     pub(super) table: String,
@@ -35,7 +35,7 @@
     pub(super) key: String,
 }
 
-/// A row as the store tells it, or tells that it was removed.
+/// A row of an answer, or the tombstone of a removed one.
 #[derive(Deserialize)]
 pub(super) struct RowEntry {
     #[serde(default)]
@@ -49,7 +49,7 @@
     pub(super) removed: bool,
 }
 
-/// What the store answers to every call about rows.
+/// The store's answer to every row call.
 #[derive(Deserialize)]
 pub(super) struct RowsAnswer {
     #[serde(default)]
@@ -59,7 +59,7 @@
     /// The store's newest version.
     #[serde(default)]
     pub(super) ver: u64,
-    /// The store's steady clock.
+    /// The store's monotonic clock.
     #[serde(default)]
     pub(super) now_ms: u64,
 }
--- a/src/site.rs
+++ b/src/site.rs
@@ -1,5 +1,5 @@
-//! What a node is told of its place in a deployment whose platform writes the
-//! settings file. [`crate::platform::settings`] reads that file.
+//! A node's settings in a deployment whose platform writes the settings file.
+//! [`crate::platform::settings`] reads that file.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -8,10 +8,10 @@
 use crate::limit::Tolerance;
 use crate::name::Name;
 
-/// Everything that one process learns when it starts.
+/// Everything that one process reads from its settings file at start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Site {
-    /// The node's name; a VM that takes another's place has another name.
+    /// The node's name; a VM that replaces another one has a different name.
     pub node: Name,
     /// The node's availability zone.
     pub zone: Name,
@@ -19,39 +19,39 @@
     pub region: Name,
     /// The region of each availability zone.
     pub zones: BTreeMap<Name, Name>,
-    /// The VM's processor, in thousandths of a core.
+    /// The process's share of the VM's processor, in thousandths of a core.
     pub cpu_millicores: u16,
     /// Where the node listens.
     pub listen: Listen,
-    /// Control addresses of some nodes, which may be down.
+    /// Control addresses of some other nodes, which may be down.
     pub seeds: Vec<SocketAddr>,
-    /// The store of the platform.
+    /// The platform's store.
     pub store: Store,
     /// Bounds that the deployment sets on the system's behaviour.
     pub bounds: Bounds,
 }
 
-/// Where a node listens.
+/// The addresses that a node listens on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Listen {
-    /// For callers' requests.
+    /// Callers' requests.
     pub callers: SocketAddr,
-    /// For the platform's readiness checks.
+    /// The platform's readiness checks.
     pub readiness: SocketAddr,
-    /// For callers who ask which addresses to use.
+    /// The directory, from which callers resolve the addresses to use.
     pub directory: SocketAddr,
-    /// For datagrams about membership.
+    /// Datagrams about membership.
     pub control: SocketAddr,
-    /// For datagrams about admission; the same port on every node.
+    /// Datagrams about admission; the same port on every node.
     pub pool: SocketAddr,
-    /// For connections of other nodes; the same port on every node.
+    /// Connections from other nodes; the same port on every node.
     pub link: SocketAddr,
-    /// For the answers to this node's own questions about admission.
+    /// Answers to this node's own admission requests.
     pub broker: SocketAddr,
 }
 
 impl Listen {
-    /// The IP number that all addresses share.
+    /// Returns the IP address that all addresses share.
     pub fn ip(&self) -> IpAddr {
         self.callers.ip()
     }
@@ -60,24 +60,24 @@
 /// The platform's store and its limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Store {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// Largest value of a row, in bytes.
+    /// Maximum size of a row's value, in bytes.
     pub row_bytes: usize,
 }
 
 /// Bounds on the system's behaviour.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// From SIGTERM until the process is killed.
+    /// Time between SIGTERM and the kill of the process.
     pub grace: Duration,
-    /// For how long after its submission a batch job's results stay readable.
+    /// How long after its submission a batch job's results stay readable.
     pub result_retention: Duration,
-    /// Longest time that callers may keep an answer of the directory.
+    /// Maximum time for which callers may cache an answer of the directory.
     pub directory_ttl: Duration,
-    /// Within which a revoked key is let through by no node, not even by one that
-    /// can't be reached; none where only nodes that can be reached must heed it.
+    /// Time after which no node accepts a revoked key any more, not even a partitioned one.
+    /// None where only reachable nodes have to apply a revocation.
     pub max_revocation_delay: Option<Duration>,
-    /// How exactly all nodes together keep organisations' limits.
+    /// How far all nodes together may exceed organisations' limits.
     pub tolerance: Tolerance,
 }
--- a/standin/tests/store_client.rs
+++ b/standin/tests/store_client.rs
@@ -1,4 +1,4 @@
-//! The client of the users' store, against the stand-in.
+//! The client of the platform's store, against the stand-in store.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -37,10 +37,9 @@
 }
 
 #[gtest]
-fn scan_other_prefix_behind() {
-    // A caller reads the results of a small job among many. Were the rows of the
-    // jobs behind it read as well, and thrown away, every reading would carry a
-    // megabyte and hold its reader up.
+fn scan_later_prefix() {
+    // A caller reads the results of one small job among many. If the rows of all later jobs were
+    // read as well and discarded, each read would transfer a megabyte and delay the caller.
     run(|store, client| async move {
         for job in 0..6 {
             for position in 0..3 {
@@ -61,7 +60,7 @@
 }
 
 #[gtest]
-fn get_other_row_behind() {
+fn get_later_row() {
     run(|store, client| async move {
         let row = Transaction::default().put("job/b", "x");
         client.transact(row).await.unwrap();
@@ -71,10 +70,9 @@
 }
 
 #[gtest]
-fn list_again() {
-    // Every node of a large fleet reads who else there is, again and again.
-    // Only what is new may be read, or each start of all nodes would cost the
-    // square of their number.
+fn list_repeated() {
+    // Every node of a large fleet lists the other nodes repeatedly. Only changed rows may be read,
+    // or a start of all nodes would read a number of rows that is quadratic in their number.
     run(|store, client| async move {
         for at in 0..50 {
             let other = registered(&client, at);
@@ -104,10 +102,10 @@
 
 #[gtest]
 fn list_row_refused() {
-    // All nodes have restarted, and the store has more to write than it can. A
-    // node whose row is refused must still learn where the others are: one that
-    // knew only its seeds would keep pools of its own, and the endpoints that
-    // these give away would turn its callers away.
+    // All nodes have restarted, and the store refuses writes because it is overloaded. A node
+    // whose row is refused must still get the list of the others. With only its seeds it would
+    // own pools that other nodes own as well, and the endpoints that both assign would refuse its
+    // callers.
     run(|store, client| async move {
         registered(&client, 1).list().await.unwrap();
         let full = Treatment {
@@ -120,15 +118,15 @@
         let registering = Rc::clone(&me);
         let task = actix_rt::spawn(async move { registering.register_until_stored().await });
         store.treatment.borrow_mut().clear();
-        // It ends once the row is there.
+        // Returns once the row is stored.
         task.await.unwrap();
         expect_that!(me.list().await.unwrap().len(), eq(2));
     });
 }
 
 #[gtest]
-fn transact_parts() {
-    // Nodes' rows and jobs must not wait for each other.
+fn transact_separate_parts() {
+    // Nodes' rows and jobs are in different parts, so that neither waits for the other.
     run(|store, client| async move {
         registered(&client, 1).list().await.unwrap();
         let row = Transaction::default().put("job/a", "x");
@@ -142,10 +140,10 @@
 
 #[gtest]
 fn snapshot_slow_pages() {
-    // All nodes have restarted and read the whole table of endpoints at once, so
-    // each page takes longer than a usual answer. Were a page taken for lost and
-    // the reading begun anew, the same bytes would go over full links again and
-    // again, and callers would be told for seconds that there are no endpoints.
+    // All nodes have restarted and read the whole table of endpoints at once, so each page takes
+    // longer than a usual answer. If a slow page counted as lost and the snapshot started over, the
+    // same bytes would cross saturated links repeatedly, and callers would get refusals for lack
+    // of endpoints for seconds.
     run(|store, client| async move {
         for at in 0..1_200 {
             let value = serde_json::json!({"at": at});
--- a/tests/platform_decode.rs
+++ b/tests/platform_decode.rs
@@ -1,4 +1,4 @@
-//! The platform's own formats, decoded into the product's types.
+//! Decoding of the platform's formats into the product's types.
 
 use std::time::Duration;
 
@@ -50,11 +50,10 @@
     expect_that!(site.store.row_bytes, eq(65_536));
 }
 
-/// The platform's file lacks a field or has an impossible one. A node that
-/// started all the same would listen or wait wrongly, which nobody would notice
-/// before a request is lost.
+/// The platform's file lacks a field or has an invalid one. A node that started anyway would use a
+/// wrong address or time-out, which would go unnoticed until a request is lost.
 #[gtest]
-fn settings_impossible() {
+fn settings_invalid_value() {
     for (right, wrong, names) in [
         ("zone = \"z1\"", "", "zone"),
         ("[7720, 7735]", "[7735, 7720]", "port_range"),
@@ -69,8 +68,8 @@
     }
 }
 
-/// An operator mends a file that has several faults. Hearing of one at a time,
-/// they would start the node as often as there are faults.
+/// A file has several problems. With one reported at a time, the operator would have to start the
+/// node once for each of them.
 #[gtest]
 fn settings_every_problem() {
     let text = SETTINGS
@@ -154,7 +153,8 @@
     expect_that!(first, eq(900));
 }
 
-/// A row that is no configuration arrives; the last good one must stay.
+/// The row is not a valid configuration: decoding must fail, so that the last valid one stays in
+/// force.
 #[gtest]
 fn config_undecodable() {
     for text in ["", "{", "[]", r#"{"version":"x"}"#] {
@@ -212,10 +212,10 @@
     );
 }
 
-/// A reader sends a position that is no number; it must hear so, and not get the
-/// results from the start.
+/// A caller reads results from a position that is not a number, or calls an unknown path. It must
+/// get an error, and not the results from the start.
 #[gtest]
-fn call_wrong() {
+fn call_invalid() {
     for target in ["/-/lots/j?after=x", "/-/lots/j?after=-1"] {
         expect_that!(
             decode("GET", target),
@@ -246,10 +246,10 @@
     expect_that!(items[0].tokens, eq(9));
 }
 
-/// A job with a wrong item must be refused whole, with what is wrong; accepted
-/// in part it would never be complete.
+/// A job with an invalid item must be refused as a whole, with the reason: a job that is accepted in
+/// part would never be complete.
 #[gtest]
-fn job_wrong() {
+fn job_invalid() {
     let many: Vec<(String, &str)> = (0..201).map(|at| (format!("i{at}"), "")).collect();
     let many: Vec<(&str, &str)> = many.iter().map(|(id, body)| (id.as_str(), *body)).collect();
     for (body, names) in [
@@ -257,7 +257,7 @@
         (submission(&[("i1", ""), ("i1", "")]), "same id"),
         (submission(&[]), "1 to 200"),
         (submission(&many), "1 to 200"),
-        ("{".to_owned(), "no job"),
+        ("{".to_owned(), "not a valid job"),
     ] {
         let error = job::decode(body.as_bytes()).unwrap_err();
         expect_that!(error, contains_substring(names));
@@ -266,9 +266,9 @@
 
 #[gtest]
 fn endpoint_other_writers() {
-    // An entry comes from another writer, or a fault garbled it. Were it read as
-    // an endpoint with what is missing guessed, requests would go where nothing
-    // answers; it names no endpoint, and the other entries hold.
+    // A row comes from another program or is corrupted. If it were decoded with defaults for the
+    // missing fields, requests would be sent to an address where nothing answers. It must be
+    // rejected as a whole, and other rows stay valid.
     let good = r#"{"service":"s","address":"10.128.0.9:8080","zone":"z1","slots":8,"state":"ready","born":1700000000000}"#;
     let wrong = [
         "",
