--- a/src/edge/learn.rs
+++ b/src/edge/learn.rs
@@ -173,7 +173,7 @@
 
 #[derive(Default)]
 struct State {
-    book: Registry,
+    registry: Registry,
     config: Option<Arc<Config>>,
     /// When the store or a peer last confirmed the endpoints.
     confirmed: Time,
@@ -184,7 +184,7 @@
     /// configuration in force is not confirmed meanwhile.
     unreadable: bool,
     /// Latest time at which the store certainly had no newer configuration.
-    vouched: Option<Uptime>,
+    config_confirmed: Option<Uptime>,
     /// The endpoints as last published.
     endpoints: Arc<BTreeMap<Name, Arc<Endpoint>>>,
 }
@@ -192,7 +192,7 @@
 impl State {
     /// Records a confirmation of the configuration by the store or by a peer.
     fn confirm_config(&mut self, at: Option<Uptime>) {
-        self.vouched = self.vouched.max(at);
+        self.config_confirmed = self.config_confirmed.max(at);
     }
 }
 
@@ -273,17 +273,17 @@
         match update {
             Update::Snapshot(snapshot) => {
                 let (entries, unreadable) = partition(snapshot.rows.iter().map(endpoint::from_row));
-                state.book.replace(now, entries, snapshot.version);
-                mark_unreadable(&mut state.book, &unreadable);
+                state.registry.replace(now, entries, snapshot.version);
+                mark_unreadable(&mut state.registry, &unreadable);
             }
             Update::Changes(changes) => {
                 if let Some(ago) = changes.failed_ago {
-                    state.book.store_failed(now - ago);
+                    state.registry.store_failed(now - ago);
                 }
                 let read = changes.changes.iter().map(endpoint::from_change);
                 let (entries, unreadable) = partition(read);
                 // Of two entries for one endpoint, the one with the higher version wins.
-                mark_unreadable(&mut state.book, &unreadable);
+                mark_unreadable(&mut state.registry, &unreadable);
                 for entry in entries {
                     log::debug!(
                         "{} endpoint={} version={} ready={:?}",
@@ -292,17 +292,17 @@
                         entry.version,
                         entry.endpoint.as_ref().map(|endpoint| endpoint.ready),
                     );
-                    state.book.apply(now, entry);
+                    state.registry.apply(now, entry);
                 }
             }
             Update::Failed => {
-                state.book.store_failed(now);
+                state.registry.store_failed(now);
                 return;
             }
         }
         state.endpoints_answered = confirmed_at;
         state.confirmed = confirmed_at;
-        state.endpoints = Arc::new(state.book.endpoints());
+        state.endpoints = Arc::new(state.registry.endpoints());
         self.publish(&state);
     }
 
@@ -310,8 +310,8 @@
     pub fn expire(&self) {
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
-        if state.book.expire(now) {
-            state.endpoints = Arc::new(state.book.endpoints());
+        if state.registry.expire(now) {
+            state.endpoints = Arc::new(state.registry.endpoints());
             self.publish(&state);
         }
     }
@@ -321,7 +321,7 @@
             config: state.config.clone(),
             endpoints: Arc::clone(&state.endpoints),
             confirmed: state.confirmed,
-            config_confirmed: state.vouched,
+            config_confirmed: state.config_confirmed,
         });
     }
 
@@ -333,13 +333,13 @@
         let state = self.state.borrow();
         let fresh = now.since(state.endpoints_answered) <= MAX_STORE_SILENCE;
         let uptime = Uptime::now();
-        let vouched_ago = state.vouched.map(|at| uptime.since(at));
-        let vouches = vouched_ago.is_some_and(|ago| ago < MAX_CONFIRMATION_AGE);
-        if !fresh && !vouches && version > 0 {
+        let vouched_ago = state.config_confirmed.map(|at| uptime.since(at));
+        let is_recent = vouched_ago.is_some_and(|ago| ago < MAX_CONFIRMATION_AGE);
+        if !fresh && !is_recent && version > 0 {
             return None;
         }
         let config = state.config.clone().filter(|it| it.version > version);
-        let entries = state.book.entries();
+        let entries = state.registry.entries();
         let endpoints = entries
             .into_iter()
             .map(|entry| (entry.id, entry.version, entry.endpoint))
@@ -365,13 +365,13 @@
                 version,
                 endpoint,
             };
-            state.book.apply(now, entry);
+            state.registry.apply(now, entry);
         }
         if update.fresh {
             state.confirmed = now;
         }
         state.confirm_config(update.vouched_ago.map(|ago| sent - ago));
-        state.endpoints = Arc::new(state.book.endpoints());
+        state.endpoints = Arc::new(state.registry.endpoints());
         self.publish(&state);
     }
 
@@ -379,10 +379,10 @@
     fn is_cut_off(&self) -> bool {
         let now = self.clock.now();
         let state = self.state.borrow();
-        let doubtful = state
-            .vouched
+        let is_outdated = state
+            .config_confirmed
             .is_none_or(|at| Uptime::now().since(at) > MAX_CONFIRMATION_AGE);
-        doubtful
+        is_outdated
             || now.since(state.endpoints_answered) > MAX_STORE_SILENCE
             || now.since(state.config_answered) > MAX_STORE_SILENCE
     }
@@ -410,10 +410,10 @@
 }
 
 /// Marks the endpoints of unparsable rows as unusable: such a row gives no valid address.
-fn mark_unreadable(book: &mut Registry, unreadable: &[Unreadable]) {
+fn mark_unreadable(registry: &mut Registry, unreadable: &[Unreadable]) {
     for Unreadable { id, version, why } in unreadable {
         log::warn!("{} key={id} why=\"{why}\"", event::ROW_UNREADABLE);
-        book.refuse(id, *version);
+        registry.refuse(id, *version);
     }
 }
 
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -453,7 +453,7 @@
 pub fn complete(config: &Document, request: &mut Request) -> Result<(), Refusal> {
     let Some(service) = config.services.get(&request.service) else {
         return Err(Refusal::new(Reason::UnknownService).with_message(format!(
-            "there is no service `{}`; list them with `auburnspoke service list`",
+            "there is no service `{}`; `auburnspoke service list` names them",
             request.service
         )));
     };
--- a/tests/wire_traffic.rs
+++ b/tests/wire_traffic.rs
@@ -61,7 +61,7 @@
     let broken = [
         ("another version", vec![hello(VERSION + 1)]),
         (
-            "no greeting",
+            "no handshake",
             vec![wire::encode(&Frame::Cancel { id: 7 }).unwrap()],
         ),
         ("truncated", vec![hello(VERSION), truncated]),
