--- a/src/feed/buffer.rs
+++ b/src/feed/buffer.rs
@@ -1,5 +1,4 @@
-//! What a reader keeps of one table: the changes of the last while, without a
-//! gap.
+//! A reader's buffer of the recent changes of one table, without gaps.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -8,65 +7,64 @@
 use crate::clock::{Time, Uptime};
 use crate::table::{Change, Changes};
 
-/// Most changes that are kept. The busiest table, of jobs, changes with each result,
-/// and who follows asks several times a second.
-const MOST_CHANGES: usize = 4_000;
-/// Most bytes of keys and values that are kept, of the 160 MB that the smallest
-/// VM has.
-const MOST_BYTES: usize = 2 * 1024 * 1024;
-/// For how long after a failure of the store those who follow are told of it:
-/// as long as an endpoint that could not renew its entry may stay away.
-const FAILURE_TOLD: Duration = Duration::from_secs(3);
+/// Limit on the buffered changes. The busiest table, that of the jobs, changes with each result,
+/// and members query several times per second.
+const MAX_CHANGES: usize = 4_000;
+/// Limit on the buffered keys and values; the smallest VM has 160 MB of memory.
+const MAX_BYTES: usize = 2 * 1024 * 1024;
+/// How long a failure of the store is reported to members: as long as an endpoint that could not
+/// renew its entry may be missing.
+const FAILURE_REPORT_TIME: Duration = Duration::from_secs(3);
 
-/// Changes of one table from a version on.
+/// Changes of one table since a version.
 #[derive(Debug)]
 pub struct Buffer {
-    /// Every change after this version is here.
+    /// Every change after this version is buffered.
     base: u64,
     version: u64,
     changes: VecDeque<Change>,
     bytes: usize,
-    /// When the store last answered, and what its clock said then.
-    heard: Option<(Time, u64)>,
-    /// When the store was asked what it last answered.
-    asked: Option<Uptime>,
-    /// When the store last failed to answer.
+    /// Time of the store's last answer, and its clock in that answer.
+    answered: Option<(Time, u64)>,
+    /// Time of the query that the store last answered.
+    queried: Option<Uptime>,
+    /// Time at which the store last failed to answer.
     failed: Option<Time>,
 }
 
 impl Buffer {
-    /// An empty shelf for whoever knows the table as of `version`.
+    /// Creates an empty buffer for the changes after `version`.
     pub fn new(version: u64) -> Self {
         Self {
             base: version,
             version,
             changes: VecDeque::new(),
             bytes: 0,
-            heard: None,
-            asked: None,
+            answered: None,
+            queried: None,
             failed: None,
         }
     }
 
-    /// The version from which the store is to be followed on.
+    /// Returns the version after which the store has to be read.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Adds what followed on [`Self::version`]. An answer that is behind it came
-    /// from a copy of the store that lags; it tells nothing.
+    /// Adds the changes after [`Self::version`]. An answer with a lower version comes from a
+    /// lagging replica of the store and is ignored.
     pub fn add(&mut self, now: Time, changes: Changes) {
         if changes.version < self.version {
             return;
         }
         self.version = changes.version;
-        self.heard = Some((now, changes.clock));
-        self.asked = changes.asked;
+        self.answered = Some((now, changes.clock));
+        self.queried = changes.asked;
         for change in changes.changes {
             self.bytes += size(&change);
             self.changes.push_back(change);
         }
-        while self.changes.len() > MOST_CHANGES || self.bytes > MOST_BYTES {
+        while self.changes.len() > MAX_CHANGES || self.bytes > MAX_BYTES {
             let Some(oldest) = self.changes.pop_front() else {
                 return;
             };
@@ -75,22 +73,24 @@
         }
     }
 
-    /// The store did not answer.
+    /// Records that the store did not answer.
     pub fn fail(&mut self, now: Time) {
         self.failed = Some(now);
     }
 
-    /// What followed on `version`; nothing while that is not known yet.
+    /// Returns the changes after `version`; `None` before the store's first answer.
     pub fn since(&self, now: Time, version: u64) -> Option<Answer> {
         if version < self.base || version > self.version {
             return Some(Answer::Gap);
         }
-        let (heard, clock) = match (self.heard, self.failed) {
-            // What is known may be old, and the one who asks may reach the store.
-            (Some((heard, _)), Some(failed)) if failed >= heard => return Some(Answer::Stale),
+        let (answered, clock) = match (self.answered, self.failed) {
+            // The buffer may be outdated, and the querying member may reach the store.
+            (Some((answered, _)), Some(failed)) if failed >= answered => {
+                return Some(Answer::Stale);
+            }
             (None, Some(_)) => return Some(Answer::Stale),
             (None, None) => return None,
-            (Some(heard), _) => heard,
+            (Some(answered), _) => answered,
         };
         let from = self
             .changes
@@ -100,15 +100,15 @@
             changes: self.changes.range(from..).cloned().collect(),
             version: self.version,
             clock,
-            age: now.since(heard),
-            failed_ago: failed_ago.filter(|ago| *ago < FAILURE_TOLD),
+            age: now.since(answered),
+            failed_ago: failed_ago.filter(|ago| *ago < FAILURE_REPORT_TIME),
             asked_ago: None,
-            asked: self.asked,
+            asked: self.queried,
         }))
     }
 
-    /// True when something followed on `version`.
-    pub fn is_behind(&self, version: u64) -> bool {
+    /// True when there are changes after `version`.
+    pub fn has_changes_after(&self, version: u64) -> bool {
         self.changes
             .back()
             .is_some_and(|change| change.version > version)
--- a/src/feed/reader.rs
+++ b/src/feed/reader.rs
@@ -1,4 +1,4 @@
-//! The reader's side: follows tables for those who ask about them.
+//! Reader side: follows tables on behalf of the members that query them.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -14,27 +14,26 @@
 use crate::event;
 use crate::table::{Fault, Feed, FeedError};
 
-/// How long a call to the store waits for a change. Short, because those who
-/// ask take a silent reader for lost, and 1 s old knowledge for doubtful.
+/// How long a call to the store waits for a change. Short, because members treat a silent reader
+/// as lost, and data that is 1 s old as uncertain.
 const READ_WAIT: Duration = Duration::from_millis(500);
-/// Pause after a failed call.
-const FAILED_PAUSE: Duration = Duration::from_millis(150);
-/// Longest time that an answer waits for news of the store.
-const ANSWER_WAIT: Duration = Duration::from_millis(800);
-/// A table that nobody asked about for so long is followed no more.
-const UNUSED: Duration = Duration::from_secs(6);
+/// Delay after a failed call.
+const RETRY_DELAY: Duration = Duration::from_millis(150);
+/// Maximum time that an answer waits for the store.
+const MAX_ANSWER_WAIT: Duration = Duration::from_millis(800);
+/// Time without queries after which a table is no longer followed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// A table that may be asked about, and the least time between two readings of
-/// its changes.
+/// A table that may be queried, with the minimum interval between two reads of its changes.
 #[derive(Clone, Copy, Debug)]
 pub struct Topic {
     /// The table's name.
     pub table: &'static str,
-    /// The least time between two readings.
+    /// The minimum interval between two reads.
     pub gap: Duration,
 }
 
-/// The tables that this node follows for others.
+/// Follows tables on behalf of other nodes.
 pub struct Reader<F> {
     clock: Clock,
     feed: F,
@@ -44,16 +43,16 @@
 
 struct Followed {
     buffer: RefCell<Buffer>,
-    /// Told whenever the store answered or failed.
-    news: Notify,
-    asked: Cell<Time>,
+    /// Notified whenever the store answered or failed.
+    updated: Notify,
+    last_query: Cell<Time>,
 }
 
 impl<F> Reader<F>
 where
     F: Feed + Clone + 'static,
 {
-    /// Follows nothing yet.
+    /// Creates a reader that follows no table yet.
     pub fn new(clock: Clock, feed: F, tables: &'static [Topic]) -> Rc<Self> {
         Rc::new(Self {
             clock,
@@ -63,11 +62,11 @@
         })
     }
 
-    /// What followed on `version` of a table. Waits for the next news of the
-    /// store when nothing is known yet.
+    /// Returns the changes of a table since `version`. Waits for the store when there is nothing
+    /// to return yet.
     pub async fn answer(self: &Rc<Self>, table: &str, version: u64) -> Answer {
-        let told = self.find(table, version).await;
-        told.with_age(Uptime::now())
+        let answer = self.find(table, version).await;
+        answer.with_age(Uptime::now())
     }
 
     async fn find(self: &Rc<Self>, table: &str, version: u64) -> Answer {
@@ -76,33 +75,33 @@
             return Answer::Foreign;
         };
         let followed = self.followed(*topic, version);
-        followed.asked.set(self.clock.now());
-        let until = Instant::now() + ANSWER_WAIT;
+        followed.last_query.set(self.clock.now());
+        let until = Instant::now() + MAX_ANSWER_WAIT;
         loop {
-            let news = followed.news.notified();
-            tokio::pin!(news);
-            news.as_mut().enable();
-            let told = followed.buffer.borrow().since(self.clock.now(), version);
-            let waits = match &told {
+            let updated = followed.updated.notified();
+            tokio::pin!(updated);
+            updated.as_mut().enable();
+            let answer = followed.buffer.borrow().since(self.clock.now(), version);
+            let waits = match &answer {
                 None => true,
-                Some(Answer::Changes(_)) => !followed.buffer.borrow().is_behind(version),
+                Some(Answer::Changes(_)) => !followed.buffer.borrow().has_changes_after(version),
                 Some(_) => false,
             };
             if !waits {
-                return told.unwrap_or(Answer::Stale);
+                return answer.unwrap_or(Answer::Stale);
             }
-            if timeout_at(until, news).await.is_err() {
+            if timeout_at(until, updated).await.is_err() {
                 return Answer::Stale;
             }
-            // Also news without a change are news: they tell that the table is
-            // still as it was.
-            if let Some(told) = followed.buffer.borrow().since(self.clock.now(), version) {
-                return told;
+            // An answer of the store without changes counts too: it confirms that the table is
+            // unchanged.
+            if let Some(answer) = followed.buffer.borrow().since(self.clock.now(), version) {
+                return answer;
             }
         }
     }
 
-    /// True while a table is followed for others.
+    /// True while a table is followed.
     pub fn is_following(&self, table: &str) -> bool {
         self.followed.borrow().contains_key(table)
     }
@@ -113,8 +112,8 @@
         }
         let followed = Rc::new(Followed {
             buffer: RefCell::new(Buffer::new(version)),
-            news: Notify::new(),
-            asked: Cell::new(self.clock.now()),
+            updated: Notify::new(),
+            last_query: Cell::new(self.clock.now()),
         });
         let mut all = self.followed.borrow_mut();
         all.insert(topic.table, Rc::clone(&followed));
@@ -129,7 +128,7 @@
 
     async fn follow(self: Rc<Self>, topic: Topic, followed: Rc<Followed>) {
         let why = loop {
-            if self.clock.now().since(followed.asked.get()) > UNUSED {
+            if self.clock.now().since(followed.last_query.get()) > IDLE_TIMEOUT {
                 break "unused";
             }
             let version = followed.buffer.borrow().version();
@@ -144,17 +143,17 @@
                     followed.buffer.borrow_mut().fail(self.clock.now());
                     match fault {
                         Fault::Refused { retry_after } => retry_after,
-                        Fault::Conflict { .. } | Fault::Unknown => FAILED_PAUSE,
+                        Fault::Conflict { .. } | Fault::Unknown => RETRY_DELAY,
                     }
                 }
             };
-            followed.news.notify_waiters();
+            followed.updated.notify_waiters();
             sleep(pause).await;
         };
         log::info!("{} table={} why={why}", event::FEED_ENDED, topic.table);
         self.followed.borrow_mut().remove(topic.table);
-        // Whoever waits asks the store.
+        // Members that wait for an answer read the store instead.
         followed.buffer.borrow_mut().fail(self.clock.now());
-        followed.news.notify_waiters();
+        followed.updated.notify_waiters();
     }
 }
--- a/src/feed/selector.rs
+++ b/src/feed/selector.rs
@@ -1,4 +1,4 @@
-//! Which members a node asks, as a decision.
+//! Selects the members that a node queries. Performs no I/O.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,55 +9,55 @@
 use crate::member::{Member, State, View};
 use crate::name::Name;
 
-/// Members of a zone that read the store for the others. With one, its loss
-/// would send a whole zone to the store at once; a third would only add calls.
+/// Number of members of a zone that read the store for the others. With a single one, its loss
+/// would send the whole zone to the store at once; a third would only add calls.
 const READERS: usize = 2;
-/// Members that a zone must have. In a smaller one the readers' own calls are
-/// most of what all would make, and a detour gains nothing.
-const LEAST_MEMBERS: usize = 12;
-/// For how long a reader that did not answer is passed over. It is frozen, cut
-/// off or gone; the members find that out in about the same time.
-const SILENT: Duration = Duration::from_secs(4);
-/// For how long one that can't reach the store is.
-const STALE: Duration = Duration::from_millis(1_500);
-/// For how long one that told what can't be is.
-const WRONG: Duration = Duration::from_secs(30);
-/// Gives readers another order than pools, so that the same VM does not carry
-/// both.
+/// Minimum number of members of a zone with readers. In a smaller zone the readers' own calls are
+/// most of the calls that all members would make, so relaying gains nothing.
+const MIN_MEMBERS: usize = 12;
+/// How long a reader that did not answer is skipped. It is frozen, isolated or lost; the
+/// membership detects that in about the same time.
+const SILENT_BACKOFF: Duration = Duration::from_secs(4);
+/// How long a reader that can't reach the store is skipped.
+const STALE_BACKOFF: Duration = Duration::from_millis(1_500);
+/// How long a reader with an impossible answer is skipped.
+const WRONG_BACKOFF: Duration = Duration::from_secs(30);
+/// Hash seed that ranks readers differently from pools, so that the same VM does not get both
+/// roles.
 const SEED: u64 = 1;
 
-/// Why a reader is passed over.
+/// Reason why a reader is skipped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// It did not answer in time.
     Silent,
     /// The store does not answer it.
     Stale,
-    /// Its answer can't be true, or it speaks another version.
+    /// Its answer is impossible, or of another protocol version.
     Wrong,
 }
 
-/// The readers that a node asks, and which of them it passes over.
+/// Selects the reader that a node queries, and skips faulty ones.
 #[derive(Debug, Default)]
 pub struct Selector {
-    avoided: HashMap<Name, Time>,
+    skipped_until: HashMap<Name, Time>,
 }
 
 impl Selector {
-    /// Passes a reader over for a while.
+    /// Skips a reader for a while.
     pub fn avoid(&mut self, now: Time, reader: &Name, fault: Fault) {
         let pause = match fault {
-            Fault::Silent => SILENT,
-            Fault::Stale => STALE,
-            Fault::Wrong => WRONG,
+            Fault::Silent => SILENT_BACKOFF,
+            Fault::Stale => STALE_BACKOFF,
+            Fault::Wrong => WRONG_BACKOFF,
         };
-        self.avoided.retain(|_, until| *until > now);
-        self.avoided.insert(reader.clone(), now + pause);
+        self.skipped_until.retain(|_, until| *until > now);
+        self.skipped_until.insert(reader.clone(), now + pause);
     }
 
-    /// The member to ask; none where the node reads the store itself, as nodes in
-    /// a small zone do, and those whose readers all failed them. A reader asks
-    /// itself first, so that it follows each table once.
+    /// Returns the member to query; none when the node has to read the store itself, as in a
+    /// small zone, or after all readers failed. A reader queries itself first, so that it
+    /// follows each table once.
     pub fn reader<'a>(
         &self,
         now: Time,
@@ -66,22 +66,22 @@
         view: &'a View,
     ) -> Option<&'a Member> {
         let readers = readers(zone, view);
-        // Half of the zone's other members begin with either.
+        // Spreads the zone's other members evenly over the readers.
         let own = readers.iter().position(|reader| reader.name == *me);
         let first = own.unwrap_or(usize::from(hash(me) % 2 == 1));
         let order = readers.iter().cycle().skip(first).take(readers.len());
         order.copied().find(|reader| {
-            self.avoided
+            self.skipped_until
                 .get(&reader.name)
                 .is_none_or(|until| now >= *until)
         })
     }
 }
 
-/// The members of a zone that read: strong VMs, by rendezvous hashing.
+/// Returns the readers of a zone: powerful VMs, ranked by rendezvous hashing.
 fn readers<'a>(zone: &Name, view: &'a View) -> Vec<&'a Member> {
     let near = || view.usable().filter(|member| member.zone == *zone);
-    if near().count() < LEAST_MEMBERS {
+    if near().count() < MIN_MEMBERS {
         return Vec::new();
     }
     let strongest = near().map(|member| member.power).max().unwrap_or(0);
--- a/src/feed/source.rs
+++ b/src/feed/source.rs
@@ -1,5 +1,4 @@
-//! The other nodes' side: a feed that asks a reader, and the store where no
-//! reader can tell.
+//! Member side: a feed that queries a reader, and falls back on the store.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -18,15 +17,14 @@
 use crate::table::{self, Changes, Feed, FeedError, Snapshot};
 use crate::wire::query::{Query, Reply};
 
-/// Longest wait for a reader's answer: it answers within 0.8 s, and a link delay
-/// comes on top. Two readers that are frozen at once cost twice this, which
-/// leaves time for a configuration to be in force within 3 s.
-const ANSWER: Duration = Duration::from_millis(950);
+/// Timeout of a query to a reader. A reader answers within 0.8 s, plus the link delay. Two frozen
+/// readers cost twice this timeout, which still allows a configuration to be in force within 3 s.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(950);
 
-/// Asks another member a question.
+/// Sends queries to other members.
 pub trait Ask {
-    /// The answer of the member whose link listens at `link`; none when none
-    /// came within `wait`.
+    /// Returns the answer of the member whose link listens at `link`; none when there was no
+    /// answer within `wait`.
     async fn ask(&self, link: &Name, query: Query, wait: Duration) -> Option<Reply>;
 }
 
@@ -36,7 +34,7 @@
     }
 }
 
-/// What a [`Source`] works with.
+/// Dependencies of a [`Source`].
 pub struct Setup {
     /// This process's name among the members.
     pub me: Name,
@@ -50,7 +48,7 @@
     pub count: Count,
 }
 
-/// Follows tables over readers.
+/// Follows tables by querying readers.
 pub struct Source<F, A> {
     store: F,
     links: A,
@@ -63,7 +61,7 @@
     F: Feed,
     A: Ask,
 {
-    /// A source that falls back on `store`.
+    /// Creates a source that falls back on `store`.
     pub fn new(store: F, links: A, setup: Setup) -> Self {
         Self {
             store,
@@ -73,7 +71,7 @@
         }
     }
 
-    /// What a reader tells; none when the store is to be asked.
+    /// Returns the changes from a reader; none when the store has to be read.
     async fn ask(&self, table: &str, version: u64) -> Option<Changes> {
         loop {
             let setup = &self.setup;
@@ -89,9 +87,9 @@
                 after: version,
             };
             let sent = Uptime::now();
-            let (fault, why) = match self.links.ask(&link, query, ANSWER).await {
+            let (fault, why) = match self.links.ask(&link, query, QUERY_TIMEOUT).await {
                 Some(Reply::Changes(Answer::Changes(mut changes))) => {
-                    if follows(version, &changes) {
+                    if is_continuation(version, &changes) {
                         changes.asked = changes.asked_ago.map(|ago| sent - ago);
                         setup.count.feed("told");
                         return Some(changes);
@@ -117,11 +115,10 @@
     }
 }
 
-/// True when an answer can be what followed on `version`: nothing in it is older
-/// than what was known, newer than it says itself, or out of order. A reader
-/// that lags or garbles would otherwise take this node a step back, or make it
-/// miss a change for good.
-fn follows(version: u64, changes: &Changes) -> bool {
+/// True when an answer is a possible continuation of `version`: no change in it is outdated, newer
+/// than the answer's own version, or out of order. Otherwise a lagging or faulty reader could
+/// revert this node to an older state, or make it miss a change permanently.
+fn is_continuation(version: u64, changes: &Changes) -> bool {
     let mut last = version;
     let in_order = changes.changes.iter().all(|change| {
         let follows = change.version > version && change.version >= last;
--- a/tests/feed_fleet.rs
+++ b/tests/feed_fleet.rs
@@ -1,5 +1,5 @@
-//! Three hundred nodes follow a table of the store, in virtual time: what they
-//! ask of the store, and how late they learn.
+//! Three hundred nodes follow a table of the store in virtual time: the calls to the store, and
+//! the delay of changes.
 
 #[path = "support/member.rs"]
 mod support;
@@ -31,32 +31,32 @@
     gap: Duration::from_millis(150),
 }];
 const ZONES: usize = 5;
-/// One way between two nodes, and to the store.
+/// One-way delay between two nodes, and to the store.
 const DELAY: Duration = Duration::from_millis(2);
-/// As the jobs' table is followed.
-const GAP: Duration = Duration::from_millis(200);
-/// A change each 20 ms, as many as 50 results a second make.
-const CHANGE_EVERY: Duration = Duration::from_millis(20);
+/// Minimum interval between two reads, as for the table of jobs.
+const READ_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval between changes, which corresponds to 50 results per second.
+const CHANGE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The store's one table.
+/// The store, with a single table.
 #[derive(Default)]
 struct Store {
     log: RefCell<Vec<Change>>,
     changed: Notify,
     calls: Flag<usize>,
-    /// Nodes that it refuses, by their number.
+    /// Numbers of the nodes that it refuses.
     refused: RefCell<Vec<usize>>,
 }
 
-/// What is wrong with the nodes' links.
+/// Fault of a node's link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-enum Harm {
-    /// Nothing.
+enum LinkFault {
+    /// No fault.
     #[default]
     None,
-    /// No answer comes.
+    /// The node does not answer.
     Frozen,
-    /// Each answer comes so much later.
+    /// Each answer is delayed by this much.
     Slow(Duration),
 }
 
@@ -82,7 +82,7 @@
     }
 }
 
-/// A node's way to the store.
+/// A node's connection to the store.
 #[derive(Clone)]
 struct Client {
     store: Rc<Store>,
@@ -94,7 +94,7 @@
         self.store.calls.set(self.store.calls.get() + 1);
         sleep(DELAY).await;
         if self.store.refused.borrow().contains(&self.at) {
-            let retry_after = GAP;
+            let retry_after = READ_INTERVAL;
             return Err(Fault::Refused { retry_after });
         }
         Ok(())
@@ -121,7 +121,7 @@
         tokio::pin!(changed);
         changed.as_mut().enable();
         if self.store.version() == version {
-            // Nothing may change.
+            // Times out when nothing changes.
             let _ = timeout(wait, changed).await;
         }
         sleep(DELAY).await;
@@ -136,9 +136,9 @@
 /// The nodes' links.
 #[derive(Default)]
 struct Net {
-    desks: RefCell<BTreeMap<Name, Rc<Reader<Client>>>>,
-    /// Nodes that answer late or not at all.
-    harmed: RefCell<BTreeMap<Name, Harm>>,
+    readers: RefCell<BTreeMap<Name, Rc<Reader<Client>>>>,
+    /// Faults by link.
+    faults: RefCell<BTreeMap<Name, LinkFault>>,
 }
 
 #[derive(Clone)]
@@ -149,34 +149,34 @@
         let Query::Changes { table, after } = query else {
             return None;
         };
-        let harm = self.0.harmed.borrow().get(link).copied();
-        let late = match harm.unwrap_or_default() {
-            Harm::None => Duration::ZERO,
-            Harm::Frozen => {
+        let fault = self.0.faults.borrow().get(link).copied();
+        let late = match fault.unwrap_or_default() {
+            LinkFault::None => Duration::ZERO,
+            LinkFault::Frozen => {
                 sleep(wait).await;
                 return None;
             }
-            Harm::Slow(late) => late,
+            LinkFault::Slow(late) => late,
         };
-        let reader = Rc::clone(self.0.desks.borrow().get(link)?);
+        let reader = Rc::clone(self.0.readers.borrow().get(link)?);
         let answer = async {
             sleep(DELAY).await;
-            let told = reader.answer(&table, after).await;
+            let answer = reader.answer(&table, after).await;
             sleep(DELAY + late).await;
-            told
+            answer
         };
-        let told = timeout(wait, answer).await.ok()?;
-        Some(Reply::Changes(told))
+        let answer = timeout(wait, answer).await.ok()?;
+        Some(Reply::Changes(answer))
     }
 }
 
-/// A fleet that runs.
+/// A running fleet.
 struct Fleet {
     store: Rc<Store>,
     net: Rc<Net>,
     clock: Clock,
-    /// The version that each node knows.
-    known: Vec<Rc<Flag<u64>>>,
+    /// The version that each node has.
+    versions: Vec<Rc<Flag<u64>>>,
 }
 
 fn member(at: usize) -> Member {
@@ -203,14 +203,14 @@
         let clock = Clock::start();
         let members = (0..nodes).map(member).collect();
         let view = Arc::new(Cell::new(View { members }));
-        let mut known = Vec::new();
+        let mut versions = Vec::new();
         for at in 0..nodes {
             let client = Client {
                 store: Rc::clone(&store),
                 at,
             };
             let reader = Reader::new(clock, client.clone(), TABLES);
-            net.desks.borrow_mut().insert(link(at), reader);
+            net.readers.borrow_mut().insert(link(at), reader);
             let setup = Setup {
                 me: member(at).name,
                 zone: zone(at),
@@ -220,8 +220,8 @@
             };
             let source = Source::new(client, Links(Rc::clone(&net)), setup);
             let version = Rc::new(Flag::new(0));
-            known.push(Rc::clone(&version));
-            let following = follow(source, TABLE, GAP, move |news| match news {
+            versions.push(Rc::clone(&version));
+            let following = follow(source, TABLE, READ_INTERVAL, move |update| match update {
                 Update::Changes(changes) => version.set(changes.version),
                 Update::Snapshot(snapshot) => version.set(snapshot.version),
                 Update::Failed => {}
@@ -232,48 +232,47 @@
             store,
             net,
             clock,
-            known,
+            versions,
         }
     }
 
-    /// Changes the table for `length` and gives the calls a second that the
-    /// store got.
+    /// Changes the table for `length`, and returns the calls per second to the store.
     async fn change(&self, length: Duration) -> f64 {
         let calls = self.store.calls.get();
         let began = self.clock.now();
         while self.clock.now().since(began) < length {
             self.store.write();
-            sleep(CHANGE_EVERY).await;
+            sleep(CHANGE_INTERVAL).await;
         }
         let calls = self.store.calls.get() - calls;
         f64::from(u32::try_from(calls).unwrap()) / length.as_secs_f64()
     }
 
-    /// How long until all nodes but `but` know what the store knows now.
-    async fn spread(&self, but: &[usize]) -> Duration {
+    /// Returns the time until all nodes except `except` have the store's current version.
+    async fn propagation(&self, except: &[usize]) -> Duration {
         let version = self.store.version();
         let began: Time = self.clock.now();
         loop {
-            let knows = |at: usize| but.contains(&at) || self.known[at].get() >= version;
-            if (0..self.known.len()).all(knows) {
+            let is_current = |at: usize| except.contains(&at) || self.versions[at].get() >= version;
+            if (0..self.versions.len()).all(is_current) {
                 return self.clock.now().since(began);
             }
             sleep(Duration::from_millis(5)).await;
         }
     }
 
-    /// Harms the links of some nodes.
-    fn harm(&self, nodes: &[usize], harm: Harm) {
-        let mut harmed = self.net.harmed.borrow_mut();
-        harmed.extend(nodes.iter().map(|at| (link(*at), harm)));
+    /// Injects a fault into the links of some nodes.
+    fn inject(&self, nodes: &[usize], fault: LinkFault) {
+        let mut faults = self.net.faults.borrow_mut();
+        faults.extend(nodes.iter().map(|at| (link(*at), fault)));
     }
 
-    /// The nodes that read the store for others.
+    /// Returns the nodes that read the store for others.
     fn readers(&self) -> Vec<usize> {
         let version = self.store.version();
-        let desks = self.net.desks.borrow();
-        (0..self.known.len())
-            .filter(|at| desks[&link(*at)].is_following(TABLE) && version > 0)
+        let readers = self.net.readers.borrow();
+        (0..self.versions.len())
+            .filter(|at| readers[&link(*at)].is_following(TABLE) && version > 0)
             .collect()
     }
 }
@@ -293,15 +292,15 @@
 
 #[gtest]
 fn follow_calls_of_large_fleet() {
-    // Each of 300 nodes that followed the store by itself would ask it some four
-    // times a second. Users would pay for that, and a store that is slow just
-    // then would get all of it.
+    // If each of 300 nodes followed the store itself, it would call it about four times per
+    // second. That costs users money, and a store that is slow at the time would get all of
+    // these calls.
     run(300, |fleet| async move {
         fleet.change(Duration::from_secs(2)).await;
         let rate = fleet.change(Duration::from_secs(10)).await;
         expect_that!(rate, lt(75.0));
         expect_that!(fleet.readers().len(), eq(2 * ZONES));
-        expect_that!(fleet.spread(&[]).await, lt(Duration::from_millis(450)));
+        expect_that!(fleet.propagation(&[]).await, lt(Duration::from_millis(450)));
     });
 }
 
@@ -317,44 +316,44 @@
 
 #[gtest]
 fn follow_readers_frozen() {
-    // All readers are frozen at once, and a change is made. Every node must
-    // learn of it while it may still use a route or an endpoint that is no more;
-    // the readers themselves are frozen, and not counted.
+    // All readers are frozen at once, and the table changes. Every node must get the change in
+    // time, because until then it may use a route or an endpoint that no longer exists. The
+    // frozen readers themselves are not counted.
     run(300, |fleet| async move {
         fleet.change(Duration::from_secs(2)).await;
         let readers = fleet.readers();
-        fleet.harm(&readers, Harm::Frozen);
+        fleet.inject(&readers, LinkFault::Frozen);
         fleet.store.write();
-        let took = fleet.spread(&[]).await;
+        let took = fleet.propagation(&[]).await;
         expect_that!(took, lt(Duration::from_millis(2_500)));
     });
 }
 
 #[gtest]
 fn follow_readers_refused() {
-    // The store refuses the readers and serves everybody else, who must not
-    // take their silence for "nothing has changed".
+    // The store refuses only the readers. The other nodes must not interpret their silence as
+    // "nothing has changed".
     run(300, |fleet| async move {
         fleet.change(Duration::from_secs(2)).await;
         let readers = fleet.readers();
         fleet.store.refused.borrow_mut().clone_from(&readers);
         fleet.store.write();
-        let took = fleet.spread(&readers).await;
+        let took = fleet.propagation(&readers).await;
         expect_that!(took, lt(Duration::from_secs(1)));
     });
 }
 
 #[gtest]
 fn follow_store_refuses_all() {
-    // The store is away for 3 s for everybody. When it is back all learn what
-    // they missed, and fall back into asking readers.
+    // The store is unavailable to all nodes for 3 s. After its recovery all nodes get the changes
+    // that they missed, and query readers again.
     run(300, |fleet| async move {
         fleet.change(Duration::from_secs(2)).await;
         *fleet.store.refused.borrow_mut() = (0..300).collect();
         sleep(Duration::from_secs(3)).await;
         fleet.store.write();
         fleet.store.refused.borrow_mut().clear();
-        let took = fleet.spread(&[]).await;
+        let took = fleet.propagation(&[]).await;
         expect_that!(took, lt(Duration::from_secs(1)));
         sleep(Duration::from_secs(5)).await;
         let rate = fleet.change(Duration::from_secs(5)).await;
@@ -364,62 +363,64 @@
 
 #[gtest]
 fn follow_calls_while_store_is_away() {
-    // The store is away for seven seconds. Every call costs the operators, also
-    // one that is refused, and a store that comes back under all of them at once
-    // may go again. The nodes must learn of its return within a second all the
-    // same: until then they can't accept jobs.
+    // The store is unavailable for seven seconds. Every call costs the operators money, even a
+    // refused one, and a recovering store that gets calls of all nodes at once may fail again.
+    // The nodes must nevertheless detect its recovery within a second: until then they can't
+    // accept jobs.
     run(300, |fleet| async move {
         fleet.change(Duration::from_secs(2)).await;
         *fleet.store.refused.borrow_mut() = (0..300).collect();
         let rate = fleet.change(Duration::from_secs(7)).await;
         expect_that!(rate, lt(800.0));
         fleet.store.refused.borrow_mut().clear();
-        expect_that!(fleet.spread(&[]).await, lt(Duration::from_secs(1)));
+        expect_that!(fleet.propagation(&[]).await, lt(Duration::from_secs(1)));
     });
 }
 
 #[gtest]
 fn follow_readers_cut_off() {
-    // All readers lose the store and the other nodes at once. The others must
-    // learn of a change in time, and the readers once they are back.
+    // All readers lose the connection to the store and to the other nodes at once. The others
+    // must get a change in time, and the readers after they are connected again.
     run(300, |fleet| async move {
         fleet.change(Duration::from_secs(2)).await;
         let readers = fleet.readers();
-        fleet.harm(&readers, Harm::Frozen);
+        fleet.inject(&readers, LinkFault::Frozen);
         fleet.store.refused.borrow_mut().clone_from(&readers);
         fleet.store.write();
-        let took = fleet.spread(&readers).await;
+        let took = fleet.propagation(&readers).await;
         expect_that!(took, lt(Duration::from_millis(2_500)));
-        fleet.harm(&readers, Harm::None);
+        fleet.inject(&readers, LinkFault::None);
         fleet.store.refused.borrow_mut().clear();
-        expect_that!(fleet.spread(&[]).await, lt(Duration::from_secs(1)));
+        expect_that!(fleet.propagation(&[]).await, lt(Duration::from_secs(1)));
     });
 }
 
 #[gtest]
 fn follow_readers_slow() {
-    // The readers' VMs turn slow: each answer of theirs comes 0.4 s later. News
-    // come later by that, and nobody goes over to reading the store by himself.
+    // The readers' VMs become slow, and each answer is delayed by 0.4 s. Changes are delayed by
+    // that much, and no node switches to reading the store itself.
     run(300, |fleet| async move {
         fleet.change(Duration::from_secs(2)).await;
         let readers = fleet.readers();
-        fleet.harm(&readers, Harm::Slow(Duration::from_millis(400)));
+        fleet.inject(&readers, LinkFault::Slow(Duration::from_millis(400)));
         let rate = fleet.change(Duration::from_secs(10)).await;
         expect_that!(rate, lt(75.0));
-        expect_that!(fleet.spread(&[]).await, lt(Duration::from_millis(1_300)));
+        expect_that!(
+            fleet.propagation(&[]).await,
+            lt(Duration::from_millis(1_300))
+        );
     });
 }
 
 #[gtest]
 fn follow_readers_too_slow() {
-    // Their answers come after nobody waits for them any more. That is as if
-    // they were frozen, and no node may stay behind.
+    // The readers' answers arrive after the timeout, as if they were frozen. No node may lag.
     run(300, |fleet| async move {
         fleet.change(Duration::from_secs(2)).await;
         let readers = fleet.readers();
-        fleet.harm(&readers, Harm::Slow(Duration::from_millis(1_500)));
+        fleet.inject(&readers, LinkFault::Slow(Duration::from_millis(1_500)));
         fleet.store.write();
-        let took = fleet.spread(&[]).await;
+        let took = fleet.propagation(&[]).await;
         expect_that!(took, lt(Duration::from_millis(2_500)));
     });
 }
--- a/tests/feed_source.rs
+++ b/tests/feed_source.rs
@@ -1,5 +1,5 @@
-//! Following the store over readers: what is taken from them, and when the
-//! store is asked instead.
+//! Following the store through readers: which answers are accepted, and when the store is read
+//! instead.
 
 #[path = "support/member.rs"]
 mod support;
@@ -21,9 +21,9 @@
 use auburnspoke::wire::query::{Query, Reply};
 use googletest::prelude::*;
 
-/// Members of the one zone.
+/// Number of members of the only zone.
 const MEMBERS: usize = 30;
-/// What the store answers.
+/// Version in the store's answer.
 const STORE_VERSION: u64 = 500;
 
 struct Store;
@@ -43,7 +43,7 @@
     }
 }
 
-/// Readers that answer as they were told to, one after the other.
+/// Readers that give prepared answers in order.
 #[derive(Clone, Default)]
 struct Readers {
     answers: Rc<RefCell<VecDeque<Option<Reply>>>>,
@@ -70,7 +70,7 @@
     }
 }
 
-fn told(versions: &[u64], version: u64) -> Reply {
+fn changes_reply(versions: &[u64], version: u64) -> Reply {
     Reply::Changes(Answer::Changes(changes(versions, version)))
 }
 
@@ -78,7 +78,7 @@
     Member {
         link: format!("127.0.0.1:{}", 1_000 + at).into(),
         zone: zone.into(),
-        // The first ones are strong.
+        // The first ones are powerful.
         power: if at < 8 { 500 } else { 120 },
         ..support::member(&format!("node-{at:03}"))
     }
@@ -100,8 +100,8 @@
     Source::new(Store, readers.clone(), setup)
 }
 
-/// Asks once after the version 100, with readers that give these answers.
-fn ask(answers: Vec<Option<Reply>>) -> (u64, Vec<Name>) {
+/// Queries the changes since version 100 once, with readers that give these answers.
+fn query_once(answers: Vec<Option<Reply>>) -> (u64, Vec<Name>) {
     let readers = Readers::default();
     *readers.answers.borrow_mut() = answers.into();
     let source = source(&readers, "node-020", MEMBERS);
@@ -112,17 +112,16 @@
 }
 
 #[gtest]
-fn changes_told() {
-    let (version, asked) = ask(vec![Some(told(&[101, 120], 130))]);
+fn changes_from_reader() {
+    let (version, asked) = query_once(vec![Some(changes_reply(&[101, 120], 130))]);
     expect_that!(version, eq(130));
     expect_that!(asked.len(), eq(1));
 }
 
 #[gtest]
 fn changes_reader_silent() {
-    // A reader is frozen or its node was killed. The next one tells, and only a
-    // moment is lost.
-    let (version, asked) = ask(vec![None, Some(told(&[101], 130))]);
+    // A reader is frozen or its node was killed. The next one answers after a short delay.
+    let (version, asked) = query_once(vec![None, Some(changes_reply(&[101], 130))]);
     expect_that!(version, eq(130));
     expect_that!(asked.len(), eq(2));
     expect_that!(asked[0], not(eq(&asked[1])));
@@ -130,37 +129,36 @@
 
 #[gtest]
 fn changes_all_readers_fail() {
-    // Both readers of a zone are lost at once: the store is asked, as if there
-    // were no readers.
+    // Both readers of a zone are lost at once: the store is read, as without readers.
     let stale = Some(Reply::Changes(Answer::Stale));
-    let (version, asked) = ask(vec![None, stale]);
+    let (version, asked) = query_once(vec![None, stale]);
     expect_that!(version, eq(STORE_VERSION));
     expect_that!(asked.len(), eq(2));
 }
 
 #[gtest]
 fn changes_gap() {
-    // A reader that has just begun does not know what followed.
-    let (version, _) = ask(vec![Some(Reply::Changes(Answer::Gap))]);
+    // A reader that has just started lacks some of the changes.
+    let (version, _) = query_once(vec![Some(Reply::Changes(Answer::Gap))]);
     expect_that!(version, eq(STORE_VERSION));
 }
 
 #[gtest]
 fn changes_wrong() {
-    // Readers that tell an older version, a change that is older than what was
-    // asked about, one that is newer than the whole, or changes in disorder,
-    // and one that speaks otherwise. Any of them would take a node a step back,
-    // or make it miss a change for good.
+    // Readers that return an older version, a change before the requested version, one after the
+    // answer's own version, changes out of order, or an unrelated answer. Any of them would revert
+    // a node to an older state, or make it miss a change permanently.
     let wrong = [
-        told(&[], 99),
-        told(&[100], 130),
-        told(&[131], 130),
-        told(&[120, 110], 130),
+        changes_reply(&[], 99),
+        changes_reply(&[100], 130),
+        changes_reply(&[131], 130),
+        changes_reply(&[120, 110], 130),
         Reply::Announced,
         Reply::Changes(Answer::Foreign),
     ];
     for wrong in wrong {
-        let (version, asked) = ask(vec![Some(wrong.clone()), Some(told(&[101], 130))]);
+        let (version, asked) =
+            query_once(vec![Some(wrong.clone()), Some(changes_reply(&[101], 130))]);
         expect_that!(version, eq(130), "after {wrong:?}");
         expect_that!(asked.len(), eq(2));
     }
@@ -168,13 +166,13 @@
 
 #[gtest]
 fn changes_readers_read() {
-    // All members of the zone ask one of two strong ones; these ask themselves,
-    // or they would follow each table twice.
+    // All members of the zone query one of two powerful ones. These two query themselves, because
+    // they would otherwise follow each table twice.
     let mut shares: BTreeMap<Name, usize> = BTreeMap::new();
     let mut own = 0;
     for at in 0..MEMBERS {
         let fake = Readers::default();
-        *fake.answers.borrow_mut() = VecDeque::from([Some(told(&[], 130))]);
+        *fake.answers.borrow_mut() = VecDeque::from([Some(changes_reply(&[], 130))]);
         let source = source(&fake, &format!("node-{at:03}"), MEMBERS);
         let wait = Duration::ZERO;
         let answer = actix_rt::System::new().block_on(source.changes("job", 100, wait));
@@ -188,13 +186,17 @@
     expect_that!(own, eq(2));
     for (reader, share) in shares {
         expect_that!(strong.contains(&reader), eq(true));
-        expect_that!(share, ge(8), "reader {reader} carries its part");
+        expect_that!(
+            share,
+            ge(8),
+            "reader {reader} gets its share of the queries"
+        );
     }
 }
 
 #[gtest]
 fn changes_small_zone() {
-    // In a zone of a few nodes each reads the store.
+    // In a zone of a few nodes each one reads the store.
     let readers = Readers::default();
     let source = source(&readers, "node-005", 8);
     let changes =
