--- a/tests/limit_explore.rs
+++ b/tests/limit_explore.rs
@@ -184,16 +184,16 @@
 /// Returns the percentage of requests that are refused below the limit, with the usual traffic
 /// and without faults.
 fn wrongly_refused_percent(way: Way) -> f64 {
-    let (mut sent, mut wronged) = (0, 0);
+    let (mut sent, mut refused) = (0, 0);
     for seed in 0..30 {
         let usual = [2.0, 8.0, 60.0][usize::try_from(seed % 3).unwrap()];
         let mut fleet = Fleet::new(way, seed, 88, rate(usual), TOLERANCE);
         traffic(&mut fleet, usual, 88, 0, LENGTH_MS);
         fleet.play();
         sent += fleet.ran.len() + fleet.refused.len();
-        wronged += fleet.wrongly_refused();
+        refused += fleet.wrongly_refused();
     }
-    wronged as f64 * 100.0 / sent as f64
+    refused as f64 * 100.0 / sent as f64
 }
 
 /// Compares the alternatives of docs/design/limits.md on the same schedules, and prints the
