--- a/benches/path.rs
+++ b/benches/path.rs
@@ -147,7 +147,7 @@
     for node in 0..NODES {
         fleet.node(&format!("zone-{node}"));
     }
-    fleet.settle(NODES);
+    fleet.await_members(NODES);
     fleet.configure();
     std::thread::sleep(Duration::from_secs(5));
     let start = cpu(&fleet.nodes);
--- a/src/embedded/engine/model.rs
+++ b/src/embedded/engine/model.rs
@@ -119,12 +119,12 @@
     }
 
     /// Makes each step take `factor` times as long.
-    pub fn slow(&mut self, factor: f64) {
+    pub fn set_slowdown(&mut self, factor: f64) {
         self.slow = factor.max(0.01);
     }
 
     /// Stops or resumes generating, while the engine goes on taking requests.
-    pub fn stall(&mut self, now: Time, stalled: bool) {
+    pub fn set_stalled(&mut self, now: Time, stalled: bool) {
         self.stalled = stalled;
         if !stalled && self.step_end.is_none() {
             self.start(now);
@@ -234,7 +234,7 @@
 
     /// True when the oracle's bound lets no further sequence in.
     fn is_bounded(&self, next: &Sequence) -> bool {
-        let most = self.parameters.beside_urgent as usize;
+        let most = self.parameters.max_beside_urgent as usize;
         if next.job.urgent || most > self.running.len() {
             return false;
         }
@@ -255,7 +255,7 @@
 
     fn start(&mut self, now: Time) {
         self.note(now);
-        if self.parameters.knows_urgent {
+        if self.parameters.preempts_for_urgent {
             self.set_aside();
         }
         self.preempt();
--- a/src/embedded/engine/parameter.rs
+++ b/src/embedded/engine/parameter.rs
@@ -30,9 +30,11 @@
     pub cache_blocks: usize,
     /// True for an engine that knows urgent sequences and sets the others aside
     /// at no cost. None does; it is the policy benchmark's oracle.
-    pub knows_urgent: bool,
-    /// With `knows_urgent`, most others that run while an urgent one does.
-    pub beside_urgent: u32,
+    #[serde(rename = "knows_urgent")]
+    pub preempts_for_urgent: bool,
+    /// With `preempts_for_urgent`, most others that run while an urgent one does.
+    #[serde(rename = "beside_urgent")]
+    pub max_beside_urgent: u32,
     /// Age of the load report, in milliseconds.
     pub report_lag_ms: u64,
     /// Age of cache events, in milliseconds.
@@ -53,8 +55,8 @@
             kv_tokens: 48_000,
             block_tokens: 16,
             cache_blocks: 2_000,
-            knows_urgent: false,
-            beside_urgent: u32::MAX,
+            preempts_for_urgent: false,
+            max_beside_urgent: u32::MAX,
             report_lag_ms: 500,
             event_lag_ms: 700,
             event_loss: 10,
--- a/src/embedded/engine/protocol.rs
+++ b/src/embedded/engine/protocol.rs
@@ -67,7 +67,7 @@
 /// A model that an engine holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Held {
+pub struct Model {
     /// Its name.
     pub model: String,
     /// Its version.
@@ -83,7 +83,7 @@
     /// The fencing number.
     pub fence: u64,
     /// The models to hold.
-    pub hold: Vec<Held>,
+    pub hold: Vec<Model>,
     /// The engine's role.
     pub role: String,
 }
--- a/src/embedded/engine/state.rs
+++ b/src/embedded/engine/state.rs
@@ -116,8 +116,8 @@
     /// Puts other faults in force.
     pub fn fault(&mut self, now: Time, fault: Fault) {
         let factor = if fault.slow > 0.0 { fault.slow } else { 1.0 };
-        self.model.slow(factor);
-        self.model.stall(now, fault.stall);
+        self.model.set_slowdown(factor);
+        self.model.set_stalled(now, fault.stall);
         self.fault = fault;
         if self.fault.crash {
             self.crash();
--- a/standin/src/policy/world.rs
+++ b/standin/src/policy/world.rs
@@ -64,8 +64,8 @@
         let deployment = case.deployment;
         let mut parameters = case.scenario.parameters();
         if let Way::Oracle { beside } = case.way {
-            parameters.knows_urgent = true;
-            parameters.beside_urgent = beside;
+            parameters.preempts_for_urgent = true;
+            parameters.max_beside_urgent = beside;
         }
         let fronts = match case.topology {
             Topology::Dispatcher => deployment.endpoints(),
@@ -515,7 +515,7 @@
                 site.silent = on;
                 site.model.clear();
             }
-            _ => site.model.slow(if on { SLOW } else { 1.0 }),
+            _ => site.model.set_slowdown(if on { SLOW } else { 1.0 }),
         }
     }
 
--- a/tests/cli_fleet.rs
+++ b/tests/cli_fleet.rs
@@ -23,7 +23,7 @@
     let mut fleet = env::Fleet::new();
     fleet.engine(&["--faster", "20"]);
     fleet.node("zone-0").node("zone-1");
-    fleet.settle(2);
+    fleet.await_members(2);
     fleet.configure();
     let args = ["ask", "--service", "recipes", "--max-tokens", "8", "--json"];
     let asked = run(&fleet, &[&args[..], &["swap nuts?"]].concat(), "");
@@ -89,7 +89,7 @@
     let mut fleet = env::Fleet::new();
     fleet.engine(&["--faster", "20"]);
     fleet.node("zone-0").node("zone-1");
-    fleet.settle(2);
+    fleet.await_members(2);
     fleet.configure();
     let shown = run(&fleet, &["config", "show"], "").stdout;
     let first = shown.replace("slots = 8", "slots = 9");
@@ -178,7 +178,7 @@
     let mut fleet = env::Fleet::new();
     fleet.engine(&["--faster", "20"]);
     fleet.node("zone-0").node("zone-1");
-    fleet.settle(2);
+    fleet.await_members(2);
     fleet.configure();
     let leaving = fleet.nodes[1].address("callers");
     let named = run(&fleet, &["locate", "--count", "9"], "");
--- a/tests/config_fleet.rs
+++ b/tests/config_fleet.rs
@@ -16,7 +16,7 @@
     for node in 0..nodes {
         fleet.node(&format!("zone-{node}"));
     }
-    fleet.settle(nodes);
+    fleet.await_members(nodes);
     fleet.configure();
     fleet
 }
--- a/tests/drill_batch.rs
+++ b/tests/drill_batch.rs
@@ -16,7 +16,7 @@
         fleet.engine(&[]);
     }
     fleet.node("zone-0").node("zone-1").node("zone-2");
-    fleet.settle(3);
+    fleet.await_members(3);
     fleet.configure_with(&json!({"latencyWeight": 0}));
     let items: Vec<_> = (0..600)
         .map(|n| json!({"key": format!("i{n}"), "prompt": format!("item {n}"), "maxTokens": 120}))
--- a/tests/drill_once.rs
+++ b/tests/drill_once.rs
@@ -10,7 +10,7 @@
     let mut fleet = env::Fleet::new();
     fleet.plain();
     fleet.node("zone-0").node("zone-1").node("zone-2");
-    fleet.settle(3);
+    fleet.await_members(3);
     fleet.configure();
     fleet
 }
--- a/tests/drill_online.rs
+++ b/tests/drill_online.rs
@@ -36,7 +36,7 @@
         fleet.engine(&[]);
     }
     fleet.node("zone-0").node("zone-1").node("zone-2");
-    fleet.settle(3);
+    fleet.await_members(3);
     fleet.configure();
     fleet
 }
@@ -139,7 +139,7 @@
     let mut fleet = env::Fleet::new();
     fleet.engine(&["--parameters", r#"{"sequences": 8}"#]);
     fleet.node("zone-0").node("zone-1");
-    fleet.settle(2);
+    fleet.await_members(2);
     fleet.configure_with(&json!({"deadlineMs": 3000}));
     let asking: Vec<_> = (0..60)
         .map(|n| ask_in_background(&fleet, n % 2, &long(n)))
@@ -174,7 +174,7 @@
     let mut fleet = env::Fleet::new();
     fleet.engine(&["--faster", "20"]);
     fleet.node("zone-0").node("zone-1");
-    fleet.settle(2);
+    fleet.await_members(2);
     fleet.configure();
     fleet.engine_fault(0, &json!({"break_after": 3}));
     for node in 0..2 {
@@ -220,7 +220,7 @@
     let mut fleet = env::Fleet::new();
     fleet.engine(&["--faster", "20"]);
     fleet.node("zone-0").node("zone-1");
-    fleet.settle(2);
+    fleet.await_members(2);
     fleet.configure();
     let body = json!({"service": "recipes", "prompt": "stream", "maxTokens": 500}).to_string();
     let mut readers: Vec<TcpStream> = (0..2)
--- a/tests/drill_quarantine.rs
+++ b/tests/drill_quarantine.rs
@@ -21,7 +21,7 @@
         fleet.engine(&["--faster", "20"]);
     }
     fleet.node("zone-0").node("zone-1").node("zone-2");
-    fleet.settle(3);
+    fleet.await_members(3);
     fleet.configure();
     for engine in 0..ENGINES {
         fleet.engine_fault(engine, &json!({"die_on": KILLER}));
--- a/tests/engine_model.rs
+++ b/tests/engine_model.rs
@@ -147,8 +147,8 @@
 fn stall_then_resume() {
     let mut model = Model::new(Parameters::default(), SEED);
     model.submit(Time::ZERO, job(1, 10, 3));
-    model.stall(Time::ZERO, true);
+    model.set_stalled(Time::ZERO, true);
     expect_that!(model.wake(), none());
-    model.stall(Time::from_millis(5_000), false);
+    model.set_stalled(Time::from_millis(5_000), false);
     expect_that!(drain(&mut model).len(), eq(3));
 }
--- a/tests/job_process.rs
+++ b/tests/job_process.rs
@@ -18,7 +18,7 @@
         .engine(&["--faster", "2"])
         .engine(&["--faster", "2"]);
     fleet.node("zone-0").node("zone-1").node("zone-2");
-    fleet.settle(3);
+    fleet.await_members(3);
     fleet.configure();
     fleet
 }
--- a/tests/leave.rs
+++ b/tests/leave.rs
@@ -15,7 +15,7 @@
     let mut fleet = env::Fleet::new();
     fleet.engine(&[]);
     fleet.node("zone-0").node("zone-1");
-    fleet.settle(2);
+    fleet.await_members(2);
     fleet.configure();
     let ask = json!({"service": "recipes", "prompt": "long", "maxTokens": 100});
     let asking: Vec<_> = (0..6)
@@ -43,7 +43,7 @@
     let mut fleet = env::Fleet::new();
     fleet.engine(&["--faster", "20"]);
     fleet.node("zone-0").node("zone-1");
-    fleet.settle(2);
+    fleet.await_members(2);
     fleet.configure();
     fleet.nodes[0].signal(Signal::TERM);
     env::until("the other node learns of the departure", || {
--- a/tests/member_process.rs
+++ b/tests/member_process.rs
@@ -27,7 +27,7 @@
 fn three() -> env::Fleet {
     let mut fleet = env::Fleet::new();
     fleet.node("zone-0").node("zone-1").node("zone-2");
-    fleet.settle(3);
+    fleet.await_members(3);
     fleet
 }
 
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -12,7 +12,7 @@
     let mut fleet = env::Fleet::new();
     fleet.engine(&["--faster", "20"]);
     fleet.node("zone-0").node("zone-1").node("zone-2");
-    fleet.settle(3);
+    fleet.await_members(3);
     fleet.configure();
     let ask = json!({"service": "recipes", "prompt": "swap nuts for seeds", "maxTokens": 8});
     let mut texts = Vec::new();
@@ -30,7 +30,7 @@
     let mut fleet = env::Fleet::new();
     fleet.plain();
     fleet.node("zone-0").node("zone-1");
-    fleet.settle(2);
+    fleet.await_members(2);
     fleet.configure();
     // "bm90ZQ" is "note" in the base64 of protobuf's JSON.
     let ask = json!({"service": "screening", "path": "/v1/check", "body": "bm90ZQ=="});
@@ -48,7 +48,7 @@
     let mut fleet = env::Fleet::new();
     fleet.engine(&["--faster", "20"]);
     fleet.node("zone-0");
-    fleet.settle(1);
+    fleet.await_members(1);
     fleet.configure();
     let items = json!([{"key": "k", "prompt": "p"}]);
     let job =
@@ -73,7 +73,7 @@
         .engine(&["--faster", "20"])
         .engine(&["--faster", "20"]);
     fleet.node("zone-0").node("zone-1").node("zone-2");
-    fleet.settle(3);
+    fleet.await_members(3);
     fleet.configure();
     let items: Vec<_> = (0..20)
         .map(|item| json!({"key": format!("i{item}"), "prompt": format!("scale {item}"), "maxTokens": 4}))
--- a/tests/placement_fleet.rs
+++ b/tests/placement_fleet.rs
@@ -53,7 +53,7 @@
     let mut fleet = env::Fleet::new();
     fleet.engine(&["--checks-fencing"]).engine(&[]);
     fleet.node("zone-0").node("zone-1").node("zone-2");
-    fleet.settle(3);
+    fleet.await_members(3);
     fleet.configure_with(&json!({"modelVersion": "2", "replicas": 2}));
     env::until("the engines hold version 2", || hold(&fleet, "2"));
 
@@ -86,7 +86,7 @@
         .engine(&["--checks-fencing"])
         .engine(&["--checks-fencing"]);
     fleet.node("zone-0").node("zone-1");
-    fleet.settle(2);
+    fleet.await_members(2);
     fleet.configure_with(&json!({"modelVersion": "2", "replicas": 2}));
     env::until("the engines hold version 2", || hold(&fleet, "2"));
     fleet.engines.pop();
--- a/tests/support/env.rs
+++ b/tests/support/env.rs
@@ -13,7 +13,7 @@
 
 /// How long a condition may take before a test gives up. It bounds a hang and
 /// decides nothing else.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub const CONDITION_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A process that a test started; it is killed, by its id, when dropped.
 pub struct Process {
@@ -85,7 +85,7 @@
     /// Waits for it to end by itself and returns its exit code.
     pub fn wait(&mut self) -> Option<i32> {
         let start = Instant::now();
-        while start.elapsed() < PATIENCE {
+        while start.elapsed() < CONDITION_TIMEOUT {
             if let Ok(Some(status)) = self.child.try_wait() {
                 return status.code();
             }
@@ -224,7 +224,7 @@
         while let Err(error) = self.operator(0, "ApplyConfig", &apply) {
             let wrong = refusal(&error)["reason"] == "REASON_INVALID";
             assert!(
-                !wrong && start.elapsed() < PATIENCE,
+                !wrong && start.elapsed() < CONDITION_TIMEOUT,
                 "not accepted: {error}"
             );
             std::thread::sleep(Duration::from_millis(50));
@@ -237,7 +237,7 @@
     }
 
     /// Waits until every node sees `count` usable members.
-    pub fn settle(&self, count: usize) {
+    pub fn await_members(&self, count: usize) {
         for node in 0..self.nodes.len() {
             until("the nodes see each other", || {
                 let members = self.operator(node, "ListMembers", &json!({}));
@@ -313,14 +313,17 @@
     }
 }
 
-/// Waits for a condition, and gives up only after [`PATIENCE`].
+/// Waits for a condition, and gives up only after [`CONDITION_TIMEOUT`].
 pub fn until<F>(what: &str, mut condition: F)
 where
     F: FnMut() -> bool,
 {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < PATIENCE, "waited too long until {what}");
+        assert!(
+            start.elapsed() < CONDITION_TIMEOUT,
+            "waited too long until {what}"
+        );
         std::thread::sleep(Duration::from_millis(20));
     }
 }
@@ -364,7 +367,7 @@
 fn http(address: &str, path: &str, body: Option<(&'static str, Vec<u8>)>) -> (u16, Vec<u8>) {
     let url = format!("http://{address}{path}");
     actix_rt::System::new().block_on(async move {
-        let client = awc::Client::builder().timeout(PATIENCE).finish();
+        let client = awc::Client::builder().timeout(CONDITION_TIMEOUT).finish();
         let sent = match body {
             None => client.get(url).send().await,
             Some((media, body)) => {
--- a/tests/wire_traffic.rs
+++ b/tests/wire_traffic.rs
@@ -34,7 +34,9 @@
                 }
             }
         };
-        tokio::time::timeout(env::PATIENCE, closing).await.is_ok()
+        tokio::time::timeout(env::CONDITION_TIMEOUT, closing)
+            .await
+            .is_ok()
     })
 }
 
