--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -116,7 +116,7 @@
         return Some(BTreeMap::new());
     };
     let DeValue::Table(table) = entry.value else {
-        entry.fault(faults, "write a table that maps each zone to its region");
+        entry.report(faults, "write a table that maps each zone to its region");
         return None;
     };
     let pairs = table.iter().map(|(zone, region)| {
@@ -125,7 +125,7 @@
     });
     let zones: Option<BTreeMap<Name, Name>> = pairs.collect();
     if zones.is_none() {
-        entry.fault(faults, "write each zone's region as a string in quotes");
+        entry.report(faults, "write each zone's region as a string in quotes");
     }
     zones
 }
@@ -139,7 +139,7 @@
     match both.as_deref() {
         Some([first, last]) if *last >= *first && last - first + 1 >= NODE_PORTS => Some(*first),
         _ => {
-            entry.fault(
+            entry.report(
                 faults,
                 format!("write the first and last of at least {NODE_PORTS} free ports"),
             );
@@ -183,7 +183,7 @@
         seeds.iter().map(|value| seed(value.get_ref())).collect()
     });
     if seeds.is_none() {
-        entry.fault(faults, "write a list of \"ip:port\", which may be empty");
+        entry.report(faults, "write a list of \"ip:port\", which may be empty");
     }
     seeds
 }
@@ -200,7 +200,7 @@
     let directory_ttl = optional("ttl_max_s", MAX_DIRECTORY_TTL, faults);
     let window = optional("quota_window_s", Tolerance::default().window, faults);
     let strict = match section.entry("strict_revoke") {
-        Some(entry) => entry.truth(faults),
+        Some(entry) => entry.boolean(faults),
         None => Some(false),
     };
     let revoke = match section.entry("revoke_ms") {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,8 +1,7 @@
-//! The settings file of one node, checked once and immutable after.
+//! The settings file of one node, checked once at start and immutable afterwards.
 //!
-//! Reading goes on after an error, so that one pass names everything that has
-//! to be mended, each with its line and what to write instead. docs/CLI.md
-//! describes every key.
+//! Reading continues after an error, so that one pass reports every problem with its line and what
+//! to write instead. docs/CLI.md describes every key.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -19,31 +18,31 @@
 
 pub use unit::duration;
 
-/// Everything a node learns from its settings file.
+/// The content of a node's settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Who this node is.
+    /// The node's identity.
     pub node: Node,
-    /// Where it listens.
+    /// The addresses that it listens on.
     pub listen: Listen,
-    /// Where the platform is.
+    /// The platform's address.
     pub platform: Platform,
-    /// How many threads carry requests; 2 by default.
+    /// Number of threads that serve requests; 2 by default.
     pub traffic_threads: usize,
-    /// Control addresses of other nodes, asked when the platform's list of VMs
-    /// can't be read at start; none by default.
+    /// Control addresses of other nodes, used when the platform's list of VMs can't be read at
+    /// start; none by default.
     pub seeds: Vec<SocketAddr>,
-    /// How it stops.
+    /// Planned stops.
     pub leave: Leave,
-    /// What it accepts.
+    /// Bounds on callers' input.
     pub limits: Limits,
-    /// How long it waits.
+    /// Timeouts of requests and connections.
     pub timeouts: Timeouts,
-    /// How it logs.
+    /// Logging.
     pub log: Log,
 }
 
-/// Who a node is.
+/// A node's identity.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Node {
     /// Its name, unique in the fleet.
@@ -54,68 +53,68 @@
     pub region: Name,
 }
 
-/// Where a node listens. The addresses are also what others are told; port 0
-/// lets the system choose one.
+/// The addresses that a node listens on. They are also announced to other nodes; with port 0 the
+/// operating system chooses a port.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Listen {
-    /// For callers and operators.
+    /// Callers and operators.
     pub callers: SocketAddr,
-    /// For requests from other nodes.
+    /// Requests from other nodes.
     pub link: SocketAddr,
-    /// For control messages from other nodes.
+    /// Control messages from other nodes.
     pub control: SocketAddr,
 }
 
-/// Where the platform's services are, as ip:port.
+/// The address of the platform's services.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Platform {
-    /// Table, object store, list of VMs and weight store.
+    /// Address of the table, the object store, the list of VMs and the weight store.
     pub address: SocketAddr,
 }
 
-/// How a node stops.
+/// Planned stops of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Leave {
-    /// Longest time that a stop waits for work in flight; 120 s by default.
+    /// Maximum time that a planned stop waits for work in flight; 120 s by default.
     pub limit: Duration,
 }
 
 /// Bounds on what callers may send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Largest body of a job, in bytes; 128 MiB by default.
+    /// Maximum body of a job, in bytes; 128 MiB by default.
     pub body_bytes: usize,
-    /// Largest prompt, in bytes; 256 KiB by default, and at most.
+    /// Maximum prompt, in bytes; 256 KiB by default, which is also its upper bound.
     pub prompt_bytes: usize,
-    /// Most items of a job; 500,000 by default.
+    /// Maximum number of items of a job; 500,000 by default.
     pub job_items: usize,
 }
 
-/// How long a node waits.
+/// Timeouts of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timeouts {
-    /// For the end of a question; a longer deadline of its caller or its service
-    /// is cut to it; 120 s by default.
+    /// Maximum duration of a request, which caps the deadline of its caller or its service; 120 s
+    /// by default.
     pub request: Duration,
-    /// For a connection to an endpoint; 1.5 s by default.
+    /// Timeout of a connection to an endpoint; 1.5 s by default.
     pub connect: Duration,
 }
 
-/// How a node logs.
+/// Logging of a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Log {
-    /// The form of each line; text by default.
+    /// Format of each line; text by default.
     pub format: Format,
-    /// The least level that is written; info by default.
+    /// Minimum level that is written; info by default.
     pub level: log::LevelFilter,
 }
 
-/// The form of a line of the log.
+/// Format of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
-    /// Time, level, event and key=value fields.
+    /// Time, level, event and `key=value` fields.
     Text,
-    /// One JSON object a line with the same fields.
+    /// One JSON object per line with the same fields.
     Json,
 }
 
@@ -155,14 +154,14 @@
     }
 }
 
-/// One thing that is wrong in a settings file.
+/// One problem in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// Its line, from 1.
+    /// Line, from 1.
     pub line: usize,
-    /// Its column in characters, from 1.
+    /// Column in characters, from 1.
     pub column: usize,
-    /// The key, as `listen.callers`; empty when the text is not TOML.
+    /// The key, such as `listen.callers`; empty when the text is not TOML.
     pub place: String,
     /// What is wrong, and what to write instead.
     pub message: String,
@@ -178,7 +177,7 @@
     }
 }
 
-/// Everything that is wrong in a settings file, in the order of its lines.
+/// All problems of a settings file, in the order of its lines.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Invalid(pub Vec<Problem>);
 
@@ -195,13 +194,13 @@
 impl std::error::Error for Invalid {}
 
 impl Settings {
-    /// Settings with the defaults for everything that has one.
+    /// Creates settings with the defaults for everything that has one.
     pub fn new(node: Node, listen: Listen, platform: Platform) -> Self {
         Self {
             node,
             listen,
             platform,
-            traffic_threads: check::TRAFFIC_THREADS,
+            traffic_threads: check::DEFAULT_TRAFFIC_THREADS,
             seeds: Vec::new(),
             leave: Leave::default(),
             limits: Limits::default(),
@@ -210,10 +209,10 @@
         }
     }
 
-    /// Reads and checks the text of a settings file.
+    /// Parses and checks the text of a settings file.
     ///
     /// # Errors
-    /// [`Invalid`] names everything that is wrong, not only the first.
+    /// [`Invalid`] lists every problem, not only the first one.
     pub fn parse(text: &str) -> Result<Self, Invalid> {
         check::settings(text)
     }
@@ -221,8 +220,8 @@
     /// Reads and checks a settings file.
     ///
     /// # Errors
-    /// Names the file, each place in it that is wrong, and what to write
-    /// instead; [`Invalid`] is the root of the report.
+    /// Names the file, each of its problems and what to write instead; the root cause is
+    /// [`Invalid`].
     pub fn read(path: &Path) -> Result<Self> {
         let text = std::fs::read_to_string(path)
             .wrap_err_with(|| format!("can't read {}; does it exist?", path.display()))?;
--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -1,29 +1,30 @@
-//! What each key of a settings file may be, and which go together.
+//! The valid values of each key of a settings file, and the constraints between keys.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use toml::de::DeValue;
 
-use super::document::{self, Entry, Faults, Section, article};
+use super::document::{self, Entry, Faults, Section, describe};
 use super::{
     Format, Invalid, Leave, Limits, Listen, Log, Node, Platform, Settings, Timeouts, unit,
 };
 use crate::job::accept::{MAX_ITEMS, MAX_PROMPT_BYTES};
 use crate::name::{self, Name};
 
-/// Threads that carry requests when the file names no number.
-pub(super) const TRAFFIC_THREADS: usize = 2;
-/// Most threads that carry requests; each takes memory for its buffers.
-const MAX_THREADS: usize = 64;
-/// The region when the file names none.
-const REGION: &str = "default";
-/// Shortest and longest wait that a key may name.
-const WAITS: (Duration, Duration) = (Duration::from_millis(1), Duration::from_secs(86_400));
-/// Largest bound on a body, in bytes.
-const MAX_BYTES: usize = 1024 * 1024 * 1024;
+/// Default number of threads that serve requests.
+pub(super) const DEFAULT_TRAFFIC_THREADS: usize = 2;
+/// Maximum number of threads that serve requests; each one allocates its own buffers.
+const MAX_TRAFFIC_THREADS: usize = 64;
+/// Default region.
+const DEFAULT_REGION: &str = "default";
+/// Shortest and longest duration that a key may have.
+const DURATION_BOUNDS: (Duration, Duration) =
+    (Duration::from_millis(1), Duration::from_secs(86_400));
+/// Upper bound of `limits.body_bytes`.
+const MAX_BODY_BYTES: usize = 1024 * 1024 * 1024;
 
-/// Reads and checks the whole text.
+/// Parses and checks the whole text.
 pub(super) fn settings(text: &str) -> Result<Settings, Invalid> {
     document::parse(text, |mut root, faults| {
         let settings = read(&mut root, faults);
@@ -32,14 +33,14 @@
     })
 }
 
-/// Every part is read before one that failed gives up the whole.
+/// Reads every section before it fails, so that one pass reports all problems.
 fn read(root: &mut Section<'_>, faults: &mut Faults) -> Option<Settings> {
     let node = node(root.section("node", faults), faults);
     let listen = listen(root.section("listen", faults), faults);
     let platform = platform(root.section("platform", faults), listen.as_ref(), faults);
     let traffic_threads = match root.entry("traffic_threads") {
-        Some(entry) => entry.number((1, MAX_THREADS), faults),
-        None => Some(TRAFFIC_THREADS),
+        Some(entry) => entry.number((1, MAX_TRAFFIC_THREADS), faults),
+        None => Some(DEFAULT_TRAFFIC_THREADS),
     };
     let seeds = seeds(root.entry("seeds"), listen.as_ref(), faults);
     let timeouts = timeouts(root.section("timeouts", faults), faults);
@@ -68,7 +69,7 @@
         .and_then(|entry| self::name(&entry, faults));
     let region = match section.entry("region") {
         Some(entry) => self::name(&entry, faults),
-        None => Some(Name::from(REGION)),
+        None => Some(Name::from(DEFAULT_REGION)),
     };
     section.finish(faults);
     Some(Node {
@@ -84,16 +85,16 @@
         let entry = section.require(key, example, faults)?;
         let address = entry.address(faults)?;
         if address.ip().is_unspecified() {
-            entry.fault(
+            entry.report(
                 faults,
-                "others are told this address, and 0.0.0.0 leads them nowhere; write the VM's own IP number",
+                "other nodes connect to this address, and an unspecified one identifies no VM; write the VM's own IP address",
             );
             return None;
         }
-        // Port 0 lets the system choose, another one each time.
+        // With port 0 the operating system chooses a different port each time.
         let same = |used: &SocketAddr| *used == address && address.port() != 0;
         if let Some((_, other)) = taken.iter().find(|(used, _)| same(used)) {
-            entry.fault(
+            entry.report(
                 faults,
                 format!("is the same as listen.{other}; give each its own port"),
             );
@@ -123,7 +124,7 @@
     let entry = entry?;
     let address = remote(&entry, faults)?;
     if listen.is_some_and(|own| [own.callers, own.link, own.control].contains(&address)) {
-        entry.fault(
+        entry.report(
             faults,
             "is one of this node's own addresses; write where the platform listens",
         );
@@ -141,17 +142,17 @@
         return Some(Vec::new());
     };
     let DeValue::Array(values) = entry.value else {
-        entry.fault(
+        entry.report(
             faults,
             format!(
                 "this is {}; write a list, as in [\"10.0.2.11:7003\"]",
-                article(entry.value)
+                describe(entry.value)
             ),
         );
         return None;
     };
     let mut seeds = Vec::with_capacity(values.len());
-    let mut whole = true;
+    let mut valid = true;
     for (at, value) in values.iter().enumerate() {
         let seed = Entry {
             value: value.get_ref(),
@@ -160,25 +161,25 @@
         };
         match remote(&seed, faults) {
             Some(own) if listen.is_some_and(|listen| listen.control == own) => {
-                seed.fault(
+                seed.report(
                     faults,
                     "is this node's own control address; name other nodes only",
                 );
-                whole = false;
+                valid = false;
             }
             Some(address) => seeds.push(address),
-            None => whole = false,
+            None => valid = false,
         }
     }
-    whole.then_some(seeds)
+    valid.then_some(seeds)
 }
 
 fn timeouts(mut section: Section<'_>, faults: &mut Faults) -> Option<Timeouts> {
-    let fallback = Timeouts::default();
-    let request = wait(section.entry("request"), fallback.request, faults);
+    let default = Timeouts::default();
+    let request = duration(section.entry("request"), default.request, faults);
     let connect_entry = section.entry("connect");
     let place = connect_entry.as_ref().map(|entry| entry.span.start);
-    let connect = wait(connect_entry, fallback.connect, faults);
+    let connect = duration(connect_entry, default.connect, faults);
     section.finish(faults);
     let (request, connect) = (request?, connect?);
     if connect >= request {
@@ -186,7 +187,7 @@
             place.unwrap_or_default(),
             "timeouts.connect",
             format!(
-                "is {} ms and timeouts.request {} ms: a question would run out before a second endpoint could be tried; write a shorter connect",
+                "is {} ms and timeouts.request is {} ms: a request would time out before a second endpoint could be tried; write a shorter connect",
                 connect.as_millis(),
                 request.as_millis()
             ),
@@ -203,7 +204,7 @@
 ) -> Option<Leave> {
     let entry = section.entry("limit");
     let at = entry.as_ref().map(|entry| entry.span.start);
-    let limit = wait(entry, Leave::default().limit, faults);
+    let limit = duration(entry, Leave::default().limit, faults);
     section.finish(faults);
     let limit = limit?;
     if let Some(timeouts) = timeouts.filter(|timeouts| timeouts.request > limit) {
@@ -211,7 +212,7 @@
             at.unwrap_or_default(),
             "leave.limit",
             format!(
-                "is {} ms, below timeouts.request with {} ms: a planned stop would cut a question short; write a longer one",
+                "is {} ms, below timeouts.request with {} ms: a planned stop would cut off running requests; write a longer limit",
                 limit.as_millis(),
                 timeouts.request.as_millis()
             ),
@@ -222,20 +223,20 @@
 }
 
 fn limits(mut section: Section<'_>, faults: &mut Faults) -> Option<Limits> {
-    let fallback = Limits::default();
-    let mut read = |key: &'static str, most: usize, fallback: usize, faults: &mut Faults| {
+    let default = Limits::default();
+    let mut read = |key: &'static str, most: usize, default: usize, faults: &mut Faults| {
         section
             .entry(key)
-            .map_or(Some(fallback), |entry| entry.number((1, most), faults))
+            .map_or(Some(default), |entry| entry.number((1, most), faults))
     };
-    let body_bytes = read("body_bytes", MAX_BYTES, fallback.body_bytes, faults);
+    let body_bytes = read("body_bytes", MAX_BODY_BYTES, default.body_bytes, faults);
     let prompt_bytes = read(
         "prompt_bytes",
         MAX_PROMPT_BYTES,
-        fallback.prompt_bytes,
+        default.prompt_bytes,
         faults,
     );
-    let job_items = read("job_items", MAX_ITEMS, fallback.job_items, faults);
+    let job_items = read("job_items", MAX_ITEMS, default.job_items, faults);
     let prompt_entry = section.entry("prompt_bytes");
     section.finish(faults);
     let limits = Limits {
@@ -248,7 +249,7 @@
             prompt_entry.map_or(0, |entry| entry.span.start),
             "limits.prompt_bytes",
             format!(
-                "is above limits.body_bytes ({}), so that no such prompt could arrive; write at most that",
+                "is above limits.body_bytes ({}), which bounds prompts as well; write at most that value",
                 limits.body_bytes
             ),
         );
@@ -258,9 +259,9 @@
 }
 
 fn log(mut section: Section<'_>, faults: &mut Faults) -> Option<Log> {
-    let fallback = Log::default();
+    let default = Log::default();
     let format = match section.entry("format") {
-        None => Some(fallback.format),
+        None => Some(default.format),
         Some(entry) => entry
             .text(faults)
             .map(str::to_owned)
@@ -268,22 +269,24 @@
                 "text" => Some(Format::Text),
                 "json" => Some(Format::Json),
                 other => {
-                    entry.fault(
+                    entry.report(
                         faults,
-                        format!("`{other}` is no format; write \"text\" or \"json\""),
+                        format!("`{other}` is not a log format; write \"text\" or \"json\""),
                     );
                     None
                 }
             }),
     };
     let level = match section.entry("level") {
-        None => Some(fallback.level),
+        None => Some(default.level),
         Some(entry) => entry.text(faults).map(str::to_owned).and_then(|text| {
             let level = text.parse().ok();
             if level.is_none() {
-                entry.fault(
+                entry.report(
                     faults,
-                    format!("`{text}` is no level; write off, error, warn, info, debug or trace"),
+                    format!(
+                        "`{text}` is not a log level; write off, error, warn, info, debug or trace"
+                    ),
                 );
             }
             level
@@ -300,56 +303,56 @@
     let text = entry.text(faults)?;
     if !name::is_valid(text) {
         let message = format!(
-            "`{text}` is no name; write 1 to {} letters, digits, `-`, `_`, `.` or `:`",
+            "`{text}` is not a valid name; write 1 to {} letters, digits, `-`, `_`, `.` or `:`",
             name::MAX_LEN
         );
-        entry.fault(faults, message);
+        entry.report(faults, message);
         return None;
     }
     Some(Name::from(text))
 }
 
-/// An address that this node connects to.
+/// Reads an address with a port that is not 0.
 fn address(entry: &Entry<'_>, faults: &mut Faults) -> Option<SocketAddr> {
     let address = entry.address(faults)?;
     if address.port() == 0 {
-        entry.fault(faults, "nothing listens on port 0; write the port");
+        entry.report(faults, "nothing listens on port 0; write the port");
         return None;
     }
     Some(address)
 }
 
-/// An address of something else, which must be there already.
+/// Reads the address of another process, which this node connects to.
 fn remote(entry: &Entry<'_>, faults: &mut Faults) -> Option<SocketAddr> {
     let address = address(entry, faults)?;
     if address.port() == 0 {
-        entry.fault(faults, "nothing listens on port 0; write its port");
+        entry.report(faults, "nothing listens on port 0; write its port");
         return None;
     }
     Some(address)
 }
 
-fn wait(entry: Option<Entry<'_>>, fallback: Duration, faults: &mut Faults) -> Option<Duration> {
+fn duration(entry: Option<Entry<'_>>, default: Duration, faults: &mut Faults) -> Option<Duration> {
     let Some(entry) = entry else {
-        return Some(fallback);
+        return Some(default);
     };
     if entry.value.is_integer() {
-        entry.fault(
+        entry.report(
             faults,
             "this number has no unit; write it in quotes with ms, s, m, h or d, as in \"30s\"",
         );
         return None;
     }
     let text = entry.text(faults)?;
-    let (least, most) = WAITS;
+    let (min, max) = DURATION_BOUNDS;
     match unit::duration(text) {
-        Ok(wait) if (least..=most).contains(&wait) => Some(wait),
+        Ok(duration) if (min..=max).contains(&duration) => Some(duration),
         Ok(_) => {
-            entry.fault(faults, "write at least \"1ms\" and at most \"1d\"");
+            entry.report(faults, "write at least \"1ms\" and at most \"1d\"");
             None
         }
         Err(message) => {
-            entry.fault(faults, message);
+            entry.report(faults, message);
             None
         }
     }
--- a/src/settings/document.rs
+++ b/src/settings/document.rs
@@ -1,4 +1,4 @@
-//! A TOML document that is read key by key and remembers what is wrong in it.
+//! Reads a TOML document key by key and collects every fault in it.
 
 use std::collections::BTreeSet;
 use std::net::{IpAddr, SocketAddr};
@@ -9,7 +9,7 @@
 
 use super::{Invalid, Problem};
 
-/// A problem with its place in bytes.
+/// A problem with its position as a byte offset.
 struct Fault {
     at: usize,
     place: String,
@@ -36,7 +36,7 @@
         self.0.is_empty()
     }
 
-    /// The faults by line of `text`.
+    /// Converts the faults to problems in the order of the lines of `text`.
     pub(crate) fn into_invalid(mut self, text: &str) -> Invalid {
         self.0.sort_by_key(|fault| fault.at);
         let problems = self.0.into_iter().map(|fault| {
@@ -53,11 +53,11 @@
     }
 }
 
-/// Reads a whole document: `read` takes what it knows from the root, and notes
-/// every fault; a document with one has no value.
+/// Parses a whole document. `read` reads the keys from the root section and adds every fault; a
+/// document with a fault has no value.
 ///
 /// # Errors
-/// [`Invalid`] names everything that is wrong, not only the first.
+/// [`Invalid`] lists every problem, not only the first one.
 pub(crate) fn parse<T, R>(text: &str, read: R) -> Result<T, Invalid>
 where
     R: FnOnce(Section<'_>, &mut Faults) -> Option<T>,
@@ -69,7 +69,7 @@
         faults.add(at, "", format!("this is not TOML: {}", error.message()));
     }
     if !faults.is_empty() {
-        // What follows a broken line would be misread.
+        // The lines after a syntax error would be misread.
         return Err(faults.into_invalid(text));
     }
     match read(Section::root(&table), &mut faults) {
@@ -78,7 +78,7 @@
     }
 }
 
-/// One table of the document; the empty name is the document itself.
+/// One table of the document; the root has an empty name.
 pub(crate) struct Section<'d> {
     name: &'static str,
     table: Option<&'d DeTable<'d>>,
@@ -86,7 +86,7 @@
     known: BTreeSet<&'static str>,
 }
 
-/// A value and where it stands.
+/// A value and its position.
 pub(crate) struct Entry<'d> {
     pub(crate) value: &'d DeValue<'d>,
     pub(crate) span: Range<usize>,
@@ -103,7 +103,7 @@
         }
     }
 
-    /// The table `[name]`; one that is absent reads as empty.
+    /// Returns the table `[name]`; an absent one reads as empty.
     pub(crate) fn section(&mut self, name: &'static str, faults: &mut Faults) -> Section<'d> {
         let mut section = Section {
             name,
@@ -120,7 +120,7 @@
                     name,
                     format!(
                         "this is {}; write a table that begins with [{name}]",
-                        article(other)
+                        describe(other)
                     ),
                 ),
             }
@@ -128,7 +128,7 @@
         section
     }
 
-    /// The value of `key`, which is known from now on.
+    /// Returns the value of `key`, and records the key as known.
     pub(crate) fn entry(&mut self, key: &'static str) -> Option<Entry<'d>> {
         self.known.insert(key);
         let value = self.table?.get(key)?;
@@ -139,8 +139,8 @@
         })
     }
 
-    /// As [`Section::entry`], but its absence is a fault. `example` is what a
-    /// user could write.
+    /// Like [`Section::entry`], but an absent key is a fault. `example` is a valid value for the
+    /// message.
     pub(crate) fn require(
         &mut self,
         key: &'static str,
@@ -164,10 +164,10 @@
         entry
     }
 
-    /// Faults every key that nobody asked for.
+    /// Reports every unknown key.
     ///
-    /// A misspelt key would otherwise leave its default in force, and the
-    /// operator would notice only when the node behaves otherwise than written.
+    /// A misspelt key would otherwise leave its default in force, and the operator would notice
+    /// only when the node does not behave as configured.
     pub(crate) fn finish(self, faults: &mut Faults) {
         let Some(table) = self.table else { return };
         for key in table.keys() {
@@ -202,66 +202,67 @@
 }
 
 impl Entry<'_> {
-    /// The text of a string.
+    /// Reads a string.
     pub(crate) fn text(&self, faults: &mut Faults) -> Option<&str> {
         let text = self.value.as_str();
         if text.is_none() {
-            self.fault(
+            self.report(
                 faults,
-                format!("this is {}; write a string in quotes", article(self.value)),
+                format!("this is {}; write a string in quotes", describe(self.value)),
             );
         }
         text
     }
 
-    /// A whole number in `bounds`, both ends included.
+    /// Reads a whole number within the inclusive `bounds`.
     pub(crate) fn number(&self, bounds: (usize, usize), faults: &mut Faults) -> Option<usize> {
-        let (least, most) = bounds;
+        let (min, max) = bounds;
         let number = self
             .value
             .as_integer()
             .and_then(|number| usize::from_str_radix(number.as_str(), number.radix()).ok());
         match number {
-            Some(number) if (least..=most).contains(&number) => Some(number),
+            Some(number) if (min..=max).contains(&number) => Some(number),
             _ => {
-                self.fault(
+                self.report(
                     faults,
-                    format!("write a whole number from {least} to {most}, without quotes"),
+                    format!("write a whole number from {min} to {max}, without quotes"),
                 );
                 None
             }
         }
     }
 
-    /// A number, whole or not, in `bounds`, both ends included.
-    pub(crate) fn truth(&self, faults: &mut Faults) -> Option<bool> {
-        let truth = self.value.as_bool();
-        if truth.is_none() {
-            self.fault(faults, "write true or false");
+    /// Reads a boolean.
+    pub(crate) fn boolean(&self, faults: &mut Faults) -> Option<bool> {
+        let boolean = self.value.as_bool();
+        if boolean.is_none() {
+            self.report(faults, "write true or false");
         }
-        truth
+        boolean
     }
 
+    /// Reads a whole or decimal number within the inclusive `bounds`.
     pub(crate) fn decimal(&self, bounds: (f64, f64), faults: &mut Faults) -> Option<f64> {
-        let (least, most) = bounds;
+        let (min, max) = bounds;
         let text = match self.value {
             DeValue::Integer(whole) => whole.as_str(),
             DeValue::Float(float) => float.as_str(),
             _ => "",
         };
         match text.parse() {
-            Ok(number) if (least..=most).contains(&number) => Some(number),
+            Ok(number) if (min..=max).contains(&number) => Some(number),
             _ => {
-                self.fault(
+                self.report(
                     faults,
-                    format!("write a number from {least} to {most}, without quotes"),
+                    format!("write a number from {min} to {max}, without quotes"),
                 );
                 None
             }
         }
     }
 
-    /// An IP number and a port.
+    /// Reads an IP address and a port.
     pub(crate) fn address(&self, faults: &mut Faults) -> Option<SocketAddr> {
         let text = self.text(faults)?;
         let message = match text.parse::<SocketAddr>() {
@@ -270,14 +271,15 @@
                 format!("`{text}` has no port; write it as \"{text}:7001\"")
             }
             Err(_) => format!(
-                "`{text}` is no address; write an IP number and a port, as in \"10.0.1.11:7001\""
+                "`{text}` is not an address; write an IP address and a port, as in \"10.0.1.11:7001\""
             ),
         };
-        self.fault(faults, message);
+        self.report(faults, message);
         None
     }
 
-    pub(crate) fn fault<M>(&self, faults: &mut Faults, message: M)
+    /// Adds a fault at this entry.
+    pub(crate) fn report<M>(&self, faults: &mut Faults, message: M)
     where
         M: Into<String>,
     {
@@ -285,8 +287,8 @@
     }
 }
 
-/// What kind of value it is, with its article.
-pub(crate) fn article(value: &DeValue<'_>) -> String {
+/// Returns the type of a value with its indefinite article.
+pub(crate) fn describe(value: &DeValue<'_>) -> String {
     let kind = value.type_str();
     let article = if kind.starts_with(['a', 'i']) {
         "an"
--- a/tests/settings_parse.rs
+++ b/tests/settings_parse.rs
@@ -1,11 +1,11 @@
-//! Settings files, right and wrong.
+//! Valid and invalid settings files.
 
 use std::time::Duration;
 
 use auburnspoke::settings::{Format, Problem, Settings};
 use googletest::prelude::*;
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 [node]
 name = "n1"
 zone = "z1"
@@ -17,20 +17,20 @@
 address = "10.0.9.1:7100"
 "#;
 
-/// The problems of the good file with `from` replaced by `to`.
+/// Returns the problems of the valid file with `from` replaced by `to`.
 fn problems(from: &str, to: &str) -> Vec<Problem> {
-    assert!(GOOD.contains(from), "{from} is not in the good file");
-    Settings::parse(&GOOD.replace(from, to)).unwrap_err().0
+    assert!(VALID.contains(from), "{from} is not in the valid file");
+    Settings::parse(&VALID.replace(from, to)).unwrap_err().0
 }
 
-/// The problems of the good file with `more` at its end.
+/// Returns the problems of the valid file with `more` appended.
 fn problems_with(more: &str) -> Vec<Problem> {
-    Settings::parse(&format!("{GOOD}{more}")).unwrap_err().0
+    Settings::parse(&format!("{VALID}{more}")).unwrap_err().0
 }
 
 #[gtest]
 fn parse_defaults() {
-    let settings = Settings::parse(GOOD).unwrap();
+    let settings = Settings::parse(VALID).unwrap();
     expect_that!(settings.traffic_threads, eq(2));
     expect_that!(&*settings.node.region, eq("default"));
     expect_that!(settings.seeds.len(), eq(0));
@@ -41,9 +41,9 @@
 }
 
 #[gtest]
-fn parse_everything() {
+fn parse_every_key() {
     let text = format!(
-        "traffic_threads = 4\nseeds = [\"10.0.0.2:7003\"]\n{GOOD}\
+        "traffic_threads = 4\nseeds = [\"10.0.0.2:7003\"]\n{VALID}\
          [timeouts]\nrequest = \"1m\"\nconnect = \"250ms\"\n\
          [leave]\nlimit = \"2m\"\n[limits]\nbody_bytes = 0x1000\nprompt_bytes = 4096\n\
          job_items = 7\n[log]\nformat = \"json\"\nlevel = \"debug\"\n"
@@ -83,7 +83,7 @@
 }
 
 #[gtest]
-fn parse_place() {
+fn parse_problem_position() {
     let all = problems("zone = \"z1\"", "zone = \"z 1\"");
     expect_that!(all.len(), eq(1));
     expect_that!((all[0].line, all[0].column), eq((4, 8)));
@@ -111,16 +111,19 @@
 
 #[gtest]
 fn parse_unspecified_address() {
-    // Others are told the address that a node listens on. With 0.0.0.0 every
-    // caller would connect to itself.
+    // Other nodes connect to the address that a node announces. With 0.0.0.0 each of them would
+    // connect to itself.
     let all = problems("10.0.0.1:7001", "0.0.0.0:7001");
-    expect_that!(all[0].message, contains_substring("the VM's own IP number"));
+    expect_that!(
+        all[0].message,
+        contains_substring("the VM's own IP address")
+    );
 }
 
 #[gtest]
 fn parse_host_name() {
     let all = problems("10.0.9.1:7100", "platform.example:7100");
-    expect_that!(all[0].message, contains_substring("write an IP number"));
+    expect_that!(all[0].message, contains_substring("write an IP address"));
 }
 
 #[gtest]
@@ -137,7 +140,7 @@
 
 #[gtest]
 fn parse_seed_is_self() {
-    let text = format!("seeds = [\"10.0.0.1:7003\"]\n{GOOD}");
+    let text = format!("seeds = [\"10.0.0.1:7003\"]\n{VALID}");
     let all = Settings::parse(&text).unwrap_err().0;
     expect_that!(all[0].place, eq("seeds[0]"));
 }
@@ -154,7 +157,7 @@
 
 #[gtest]
 fn parse_connect_above_request() {
-    // A question would run out before a second endpoint could be tried.
+    // A request would time out before a second endpoint could be tried.
     let all = problems_with("[timeouts]\nrequest = \"1s\"\nconnect = \"2s\"\n");
     expect_that!(all[0].place, eq("timeouts.connect"));
     expect_that!(all[0].line, eq(13));
@@ -162,7 +165,7 @@
 
 #[gtest]
 fn parse_leave_below_request() {
-    // A stop that waits for less than a question may take would cut it short.
+    // A stop whose limit is shorter than the request timeout would cut off running requests.
     let all = problems_with("[timeouts]\nrequest = \"60s\"\n[leave]\nlimit = \"30s\"\n");
     expect_that!(all[0].place, eq("leave.limit"));
     expect_that!(all[0].message, contains_substring("cut"));
@@ -176,8 +179,8 @@
 
 #[gtest]
 fn parse_number_out_of_bounds() {
-    for wrong in ["0", "-1", "65", "\"2\"", "2.5"] {
-        let text = format!("traffic_threads = {wrong}\n{GOOD}");
+    for invalid in ["0", "-1", "65", "\"2\"", "2.5"] {
+        let text = format!("traffic_threads = {invalid}\n{VALID}");
         let all = Settings::parse(&text).unwrap_err().0;
         expect_that!(all.len(), eq(1));
         expect_that!(all[0].message, contains_substring("from 1 to 64"));
@@ -185,7 +188,7 @@
 }
 
 #[gtest]
-fn parse_log() {
+fn parse_invalid_log() {
     let all = problems_with("[log]\nformat = \"xml\"\nlevel = \"loud\"\n");
     expect_that!(all.len(), eq(2));
 }
