--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -1,8 +1,8 @@
 //! Routes a question from its caller to the dispatcher of an endpoint, and the answer back.
 //!
-//! Each traffic thread has one gateway. The gateway performs the I/O and leaves the decisions
-//! to [`limit`], which admits, [`route`], which selects an endpoint, and [`retry`], which
-//! decides on retries and assembles the answer. docs/ARCHITECTURE.md describes the complete
+//! Each traffic thread has one gateway. The gateway performs the I/O and leaves the decisions to
+//! [`crate::limit`], which admits, [`crate::route`], which selects an endpoint, and [`retry`],
+//! which decides on retries and assembles the answer. docs/ARCHITECTURE.md describes the complete
 //! path.
 
 use std::cell::{Cell, RefCell};
