--- a/benches/dispatch.rs
+++ b/benches/dispatch.rs
@@ -56,8 +56,8 @@
             b.iter(|| {
                 id += 1;
                 let now = Time::from_micros(4_000_000 + id * 500);
-                let question = offer(now, id, Class::Online);
-                queue.step(now, Input::Offer(question), &mut actions);
+                let online = offer(now, id, Class::Online);
+                queue.step(now, Input::Offer(online), &mut actions);
                 queue.step(now, Input::Tokens { id, count: 1 }, &mut actions);
                 let end = End::Complete;
                 queue.step(now, Input::Ended { id, end }, &mut actions);
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -310,8 +310,8 @@
     /// have caused the crash.
     fn suspect_running(&mut self, now: Time, ended: &Permit) {
         self.suspects.add_crash(now, ended.request);
-        let there = self.permits.values();
-        for permit in there.filter(|permit| permit.endpoint == ended.endpoint) {
+        let permits = self.permits.values();
+        for permit in permits.filter(|permit| permit.endpoint == ended.endpoint) {
             self.suspects.add(now, permit.request);
         }
     }
--- a/src/pool/grant.rs
+++ b/src/pool/grant.rs
@@ -85,10 +85,10 @@
         } else {
             free.saturating_sub(reserve)
         };
-        let impatient = |(_, waiting): &(Key, Waiting)| {
+        let overdue = |(_, waiting): &(Key, Waiting)| {
             now.since(waiting.arrived) > waiting.requirements.max_wait
         };
-        if room == 0 && !self.batch.iter().any(impatient) {
+        if room == 0 && !self.batch.iter().any(overdue) {
             return;
         }
         let waiting = self.fair_order();
--- a/tests/dispatch_queue.rs
+++ b/tests/dispatch_queue.rs
@@ -421,8 +421,8 @@
     let mut env = Env::new(80);
     let item = call(env.now, 1, Class::Batch);
     env.input(Input::Offer(item));
-    let question = call(env.now, 2, Class::Online);
-    let actions = env.input(Input::Offer(question));
+    let online = call(env.now, 2, Class::Online);
+    let actions = env.input(Input::Offer(online));
     expect_that!(stopped(&actions), is_empty());
     expect_that!(started(&actions), eq(&[2]));
     let item = call(env.now, 3, Class::Batch);
