--- a/src/event.rs
+++ b/src/event.rs
@@ -1,13 +1,13 @@
-//! The numbered events of the log. docs/EVENTS.md is their catalogue, and a
-//! test holds the two together.
+//! The numbered events of the log. docs/EVENTS.md is their catalogue; a test checks that the two
+//! agree.
 
 use std::fmt;
 
-/// A kind of event. Its number never changes and is never used again.
+/// A kind of event. Its number never changes and is never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Event {
-    /// The number: hundreds tell the part (1xx process, 2xx members and
-    /// configuration, 3xx requests, 4xx jobs, 5xx platform and orders).
+    /// The number. Its first digit is the subsystem: 1xx process, 2xx members and configuration,
+    /// 3xx requests, 4xx jobs, 5xx platform and orders.
     pub number: u16,
     /// The name, in snake case.
     pub name: &'static str,
@@ -19,14 +19,14 @@
     }
 }
 
-/// Declares events as constants and lists them for the catalogue's test.
+/// Declares events as constants, and lists them for the test of the catalogue.
 macro_rules! events {
     ($($number:literal $constant:ident $name:literal;)*) => {
         $(
             #[doc = concat!("Event ", stringify!($number), "; see docs/EVENTS.md.")]
             pub const $constant: Event = Event { number: $number, name: $name };
         )*
-        /// Every event, in order.
+        /// Every event, ordered by number.
         pub const ALL: &[Event] = &[$($constant),*];
     };
 }
--- a/src/kernel.rs
+++ b/src/kernel.rs
@@ -1,21 +1,21 @@
-//! The micro-kernel: named services that find each other when the process
-//! starts, one control thread and several traffic threads.
+//! The micro-kernel: a registry of named services, through which the control thread and the traffic
+//! threads look each other up at start.
 //!
-//! Nothing here is touched on the path of a request: a service looks its peers
-//! up once and keeps the handles.
+//! It is not used on the path of a request: a service looks up its dependencies once and keeps the
+//! handles.
 
 use std::any::Any;
 use std::collections::BTreeMap;
 use std::fmt;
 use std::sync::Arc;
 
-/// The services of a process by name.
+/// The services of a process, by name.
 #[derive(Default)]
 pub struct Kernel {
     services: BTreeMap<&'static str, Arc<dyn Any + Send + Sync>>,
 }
 
-/// A service was not registered, or is of another type than was asked for.
+/// No service of the requested name and type is registered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Missing(pub &'static str);
 
@@ -28,7 +28,7 @@
 impl std::error::Error for Missing {}
 
 impl Kernel {
-    /// Makes `service` known under `name`, replacing what was there.
+    /// Registers `service` under `name`, and replaces an earlier one.
     pub fn register<S>(&mut self, name: &'static str, service: Arc<S>)
     where
         S: Send + Sync + 'static,
@@ -36,10 +36,10 @@
         self.services.insert(name, service);
     }
 
-    /// The service known under `name`.
+    /// Returns the service registered under `name`.
     ///
     /// # Errors
-    /// [`Missing`] when there is none or it has another type.
+    /// [`Missing`] when there is none or it has a different type.
     pub fn find<S>(&self, name: &'static str) -> Result<Arc<S>, Missing>
     where
         S: Send + Sync + 'static,
@@ -51,7 +51,7 @@
             .ok_or(Missing(name))
     }
 
-    /// The names that are registered, in order, for the status page.
+    /// Returns the registered names in order, for the status page.
     pub fn names(&self) -> impl Iterator<Item = &'static str> {
         self.services.keys().copied()
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,9 @@
-//! Auburnspoke serves online questions and batch jobs to language models on
-//! one shared fleet. docs/ARCHITECTURE.md shows how the modules fit together.
+//! Auburnspoke serves online requests and batch jobs for language models on one shared fleet.
+//! docs/ARCHITECTURE.md shows how the modules fit together.
 //!
-//! Modules that decide (`dispatch`, `route`, `limit`, `retry`, `member`,
-//! `lease`, `job`, ...) take the present time as an argument and hold no
-//! socket, clock, random source or log; the modules that act on their answers
-//! hold nothing that has to be decided.
+//! Modules with decision logic (`dispatch`, `route`, `limit`, `retry`, `member`, `lease`, `job`,
+//! ...) take the current time as an argument and use no socket, clock, random source or log. The
+//! modules that carry out their decisions contain no decision logic.
 
 pub mod attempt;
 pub mod batch;
--- a/src/logger.rs
+++ b/src/logger.rs
@@ -1,5 +1,5 @@
-//! How log lines are written: for people as they come, or for programs as one
-//! JSON object a line. docs/EVENTS.md tells what the fields mean.
+//! Log output: text lines for people, or one JSON object per line for programs. docs/EVENTS.md
+//! describes the fields.
 
 use std::io::Write as _;
 
@@ -13,39 +13,38 @@
 use crate::clock;
 use crate::settings::{Format, Log};
 
-/// Starts logging to the standard error stream. Later calls change nothing.
+/// Starts logging to the standard error stream. Later calls have no effect.
 ///
-/// `RUST_LOG` goes before the settings, so that one part can be watched
-/// closely without another file.
+/// `RUST_LOG` overrides the settings, so that one module can be logged in detail without a change
+/// of the file.
 pub fn init(settings: &Log) {
     let mut builder = env_logger::Builder::new();
     builder.filter_level(settings.level);
-    // What a caller sends wrong is answered and counted; logged as well, it
-    // would let any caller fill the log.
+    // Invalid requests are answered and counted. If they were logged as well, any caller could
+    // fill the log.
     builder.filter_module("actix_http", LevelFilter::Off);
     builder.parse_default_env();
     match settings.format {
         Format::Text => builder.format(write_text),
         Format::Json => builder.format(write_json),
     };
-    // Fails only when a logger is there already.
+    // Fails only when a logger is already installed.
     let _ = builder.try_init();
 }
 
-/// Starts logging to the standard output stream, for nodes whose platform
-/// collects it. Writing never blocks a caller, and the volume is bounded; see
-/// [`pipe`]. Later calls change nothing.
+/// Starts logging to the standard output stream, for nodes whose platform collects it. Writing
+/// never blocks a caller, and the volume is bounded; see [`pipe`]. Later calls have no effect.
 pub fn init_stdout() {
     let mut builder = env_logger::Builder::new();
     builder.filter_level(LevelFilter::Info);
     builder.parse_default_env();
     builder.format(write_text);
     builder.target(env_logger::Target::Pipe(Box::new(pipe::Pipe)));
-    // Fails only when a logger is there already.
+    // Fails only when a logger is already installed.
     let _ = builder.try_init();
 }
 
-/// Writes out what [`init_stdout`]'s logger still holds.
+/// Writes the lines that the logger of [`init_stdout`] still buffers.
 pub fn flush() {
     pipe::drain();
 }
@@ -66,11 +65,10 @@
     writeln!(out, "{}", Value::Object(line))
 }
 
-/// The fields of a line such as `E101 node_started node=n1 why="a b"`.
+/// Parses the fields of a line such as `E101 node_started node=n1 why="a b"`.
 ///
-/// The event's number and name are the fields `event` and `name`, each
-/// key=value pair is a field of its own, and the rest is `message`. A pair
-/// can't displace the event.
+/// The event's number and name are the fields `event` and `name`, each `key=value` pair is a
+/// separate field, and the rest is `message`. A pair can't overwrite the event.
 pub fn fields(line: &str) -> Map<String, Value> {
     let mut fields = Map::new();
     let mut rest = line;
@@ -94,7 +92,7 @@
     fields
 }
 
-/// The number, the name and the rest, when the line begins with an event.
+/// Returns the number, the name and the rest when the line starts with an event.
 fn event(line: &str) -> Option<(&str, &str, &str)> {
     let (event, rest) = line.split_once(' ')?;
     let digits = event.strip_prefix('E')?;
@@ -105,7 +103,7 @@
     Some((event, name, after))
 }
 
-/// The words of a line; a part in double quotes belongs to its word whole.
+/// Splits a line into words; spaces within double quotes do not split a word.
 fn words(line: &str) -> Vec<&str> {
     let mut words = Vec::new();
     let mut start = 0;
@@ -135,7 +133,7 @@
     !text.is_empty() && text.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'_')
 }
 
-/// Numbers stay numbers; a quoted text loses its quotes.
+/// Converts a number to a JSON number, and any other text to a string without its quotes.
 fn value_of(text: &str) -> Value {
     if let Ok(number) = text.parse::<i64>() {
         return json!(number);
--- a/src/logger/buffer.rs
+++ b/src/logger/buffer.rs
@@ -1,50 +1,50 @@
-//! Log lines that wait to be written, bounded in bytes and in lines a second.
+//! A buffer of log lines to be written, bounded in bytes and in lines per second.
 //!
-//! A collector that stops reading must not stop requests, and a flood of lines
-//! must not grow memory. What does not fit is counted, and the count is told, so
-//! that nobody takes a missing line for something that did not happen.
+//! A collector that stops reading must not block requests, and a flood of lines must not exhaust
+//! memory. Lines beyond the bounds are dropped and counted, and the count is logged, so that a
+//! missing line is not mistaken for an event that did not happen.
 
 use std::time::{Duration, Instant};
 
-/// Bytes that may wait; a collector that pauses for a second at the full rate of
-/// lines of some 150 bytes leaves a quarter of it.
-const BYTES: usize = 256 * 1024;
-/// Lines a second; a node at its peak decides on some 100 requests a second.
-const LINES: u32 = 400;
-/// What the rate is counted over.
-const SECOND: Duration = Duration::from_secs(1);
+/// Maximum size of the buffer. A collector that pauses for a second at the full rate, with lines of
+/// some 150 bytes, fills a quarter of it.
+const MAX_BYTES: usize = 256 * 1024;
+/// Maximum number of lines per window; a node at its peak decides on some 100 requests a second.
+const MAX_LINES_PER_WINDOW: u32 = 400;
+/// Window over which lines are counted.
+const RATE_WINDOW: Duration = Duration::from_secs(1);
 
-/// Lines that wait.
+/// Lines to be written.
 #[derive(Debug, Default)]
 pub struct Buffer {
     lines: Vec<u8>,
-    since: Option<Instant>,
+    window_start: Option<Instant>,
     count: u32,
     dropped: u64,
 }
 
 impl Buffer {
-    /// Nothing waits.
+    /// Creates an empty buffer.
     pub const fn new() -> Self {
         Self {
             lines: Vec::new(),
-            since: None,
+            window_start: None,
             count: 0,
             dropped: 0,
         }
     }
 
-    /// Takes a line if there is room; it never waits.
+    /// Appends a line, or drops it where a bound is reached; never blocks.
     pub fn admit(&mut self, now: Instant, line: &[u8]) {
-        let fresh = self
-            .since
-            .is_none_or(|since| now.duration_since(since) >= SECOND);
-        if fresh {
-            self.since = Some(now);
+        let is_new_window = self
+            .window_start
+            .is_none_or(|window_start| now.duration_since(window_start) >= RATE_WINDOW);
+        if is_new_window {
+            self.window_start = Some(now);
             self.count = 0;
-            self.tell_dropped();
+            self.log_dropped();
         }
-        if self.count >= LINES || self.lines.len() + line.len() > BYTES {
+        if self.count >= MAX_LINES_PER_WINDOW || self.lines.len() + line.len() > MAX_BYTES {
             self.dropped += 1;
             return;
         }
@@ -52,16 +52,16 @@
         self.lines.extend_from_slice(line);
     }
 
-    fn tell_dropped(&mut self) {
+    fn log_dropped(&mut self) {
         let note = format!("log_lines_dropped count={}\n", self.dropped);
-        if self.dropped == 0 || self.lines.len() + note.len() > BYTES {
+        if self.dropped == 0 || self.lines.len() + note.len() > MAX_BYTES {
             return;
         }
         self.dropped = 0;
         self.lines.extend_from_slice(note.as_bytes());
     }
 
-    /// Takes out all that waits.
+    /// Removes and returns all buffered lines.
     pub fn take(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.lines)
     }
--- a/src/logger/pipe.rs
+++ b/src/logger/pipe.rs
@@ -1,5 +1,5 @@
-//! Log lines on their way to the standard output stream: a thread of its own
-//! writes what [`Buffer`] has admitted.
+//! Writes log lines to the standard output stream: a separate thread writes the lines that
+//! [`Buffer`] admitted.
 
 use std::io::{self, Write};
 use std::sync::{Mutex, MutexGuard, Once, PoisonError};
@@ -8,23 +8,23 @@
 
 use super::buffer::Buffer;
 
-/// How often waiting lines are written: seldom enough that their thread costs
-/// next to nothing.
-const EVERY: Duration = Duration::from_millis(100);
+/// Interval between writes of buffered lines, long enough that the thread costs almost no
+/// processor time.
+const WRITE_INTERVAL: Duration = Duration::from_millis(100);
 
-static WAITING: Mutex<Buffer> = Mutex::new(Buffer::new());
+static BUFFER: Mutex<Buffer> = Mutex::new(Buffer::new());
 static WRITER: Once = Once::new();
 
-/// Where the logger writes, a line a call.
+/// The target of the logger, which writes one line per call.
 pub(super) struct Pipe;
 
 impl Write for Pipe {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         WRITER.call_once(|| {
-            // Without a thread lines are written at the end only.
+            // If the thread can't be started, lines are written only by the final flush.
             let _ = thread::Builder::new().name("log".into()).spawn(|| {
                 loop {
-                    thread::sleep(EVERY);
+                    thread::sleep(WRITE_INTERVAL);
                     drain();
                 }
             });
@@ -38,15 +38,15 @@
     }
 }
 
-/// Writes all that waits; blocks only the thread that calls it.
+/// Writes all buffered lines; blocks only the calling thread.
 pub(super) fn drain() {
     let lines = lock().take();
     if !lines.is_empty() {
-        // A stream that is gone has no reader to tell.
+        // A closed stream has no reader, so the error can't be reported.
         let _ = io::stdout().write_all(&lines);
     }
 }
 
 fn lock() -> MutexGuard<'static, Buffer> {
-    WAITING.lock().unwrap_or_else(PoisonError::into_inner)
+    BUFFER.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/src/metric.rs
+++ b/src/metric.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms, in `OpenMetrics` under `/metrics`.
+//! Counters and histograms, exported as `OpenMetrics` text under `/metrics`.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
     reason: &'static str,
 }
 
-/// What one process counts.
+/// The metrics of one process.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -35,8 +35,8 @@
 }
 
 impl Metrics {
-    /// Registers every metric; each reason is there from the start, so that a
-    /// counter that stays at zero can be told from one that is missing.
+    /// Registers every metric. Each reason is exported from the start, so that a counter at zero
+    /// differs from a missing one.
     pub fn new() -> Self {
         let refused = Family::<Cause, Counter>::default();
         let retried = Family::<Cause, Counter>::default();
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Lets another part register its own metrics; only before the node starts.
+    /// Registers the metrics of another module; only before the node starts.
     pub fn extend<F>(&mut self, register: F)
     where
         F: FnOnce(&mut Registry),
@@ -98,7 +98,7 @@
         self.between_tokens.observe(took.as_secs_f64());
     }
 
-    /// The text that `/metrics` answers.
+    /// Returns the body of `/metrics`.
     pub fn text(&self) -> String {
         let mut text = String::new();
         // Writing into a string can't fail.
--- a/tests/event_catalogue.rs
+++ b/tests/event_catalogue.rs
@@ -1,4 +1,4 @@
-//! The catalogue of events in docs/EVENTS.md agrees with the code.
+//! Agreement of the catalogue of events in docs/EVENTS.md with the code.
 
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -6,7 +6,7 @@
 use auburnspoke::event;
 use googletest::prelude::*;
 
-/// The number and name of each row of the catalogue.
+/// Returns the number and name of each row of the catalogue.
 fn rows() -> Vec<(String, String)> {
     let text = std::fs::read_to_string("docs/EVENTS.md").unwrap();
     text.lines()
@@ -37,8 +37,8 @@
 
 #[gtest]
 fn catalogue_logged_or_reserved() {
-    // An event that no code logs would promise operators a line that never
-    // comes; one that is logged but called reserved would surprise them.
+    // The catalogue must mark exactly those events as reserved that no code logs: otherwise
+    // operators wait for a line that never appears, or get one that is documented as unused.
     let mut source = String::new();
     read(Path::new("src"), &mut source);
     let text = std::fs::read_to_string("docs/EVENTS.md").unwrap();
--- a/tests/logger_buffer.rs
+++ b/tests/logger_buffer.rs
@@ -1,4 +1,4 @@
-//! What becomes of log lines when there are too many, or nobody reads them.
+//! The bounds of the log buffer under a flood of lines and with a stalled collector.
 
 use std::time::{Duration, Instant};
 
@@ -11,8 +11,8 @@
     String::from_utf8(buffer.take()).unwrap()
 }
 
-/// A caller sends rubbish as fast as it can, and each piece is worth a line. The
-/// log must stay small enough to be collected, and say that lines are missing.
+/// A caller sends invalid requests as fast as it can, and each one is logged. The log must stay
+/// small enough to be collected, and report how many lines were dropped.
 #[gtest]
 fn admit_flood() {
     let start = Instant::now();
@@ -28,8 +28,8 @@
     );
 }
 
-/// The collector stops reading for an hour while the node goes on. Its memory
-/// must not grow, or the platform ends the process.
+/// The collector stops reading for an hour while the node keeps running. The buffer must not grow,
+/// or the platform kills the process for its memory use.
 #[gtest]
 fn admit_nobody_reads() {
     let start = Instant::now();
@@ -39,12 +39,12 @@
             buffer.admit(start + Duration::from_secs(second), LINE);
         }
     }
-    let waiting = text(&mut buffer);
-    expect_that!(waiting.len(), le(256 * 1024));
+    let buffered = text(&mut buffer);
+    expect_that!(buffered.len(), le(256 * 1024));
     buffer.admit(start + Duration::from_secs(3_600), LINE);
-    let told = waiting + &text(&mut buffer);
-    let lines = told.lines().filter(|line| line.contains("E520")).count();
-    let dropped: usize = told
+    let written = buffered + &text(&mut buffer);
+    let lines = written.lines().filter(|line| line.contains("E520")).count();
+    let dropped: usize = written
         .lines()
         .filter_map(|line| line.strip_prefix("log_lines_dropped count="))
         .map(|count| count.parse::<usize>().unwrap())
@@ -53,7 +53,7 @@
 }
 
 #[gtest]
-fn admit_calm() {
+fn admit_within_bounds() {
     let start = Instant::now();
     let mut buffer = Buffer::new();
     buffer.admit(start, LINE);
--- a/tests/logger_fields.rs
+++ b/tests/logger_fields.rs
@@ -28,8 +28,8 @@
 
 #[gtest]
 fn fields_forged_event() {
-    // A text from outside that holds `event=` must not pass for another event.
-    let made = fields("E301 request_refused event=E103 x");
-    expect_that!(made["event"], eq(&json!("E301")));
-    expect_that!(made["message"], eq(&json!("event=E103 x")));
+    // External text that contains `event=` must not overwrite the line's event.
+    let parsed = fields("E301 request_refused event=E103 x");
+    expect_that!(parsed["event"], eq(&json!("E301")));
+    expect_that!(parsed["message"], eq(&json!("event=E103 x")));
 }
--- a/tests/metric_text.rs
+++ b/tests/metric_text.rs
@@ -1,4 +1,4 @@
-//! What `/metrics` shows.
+//! The text that `/metrics` returns.
 
 use std::time::Duration;
 
@@ -9,8 +9,8 @@
 
 #[gtest]
 fn text_each_reason() {
-    // A counter that appears only once it counts can't be told from one that
-    // is missing, and an alert on it would never fire.
+    // A counter that appears only with its first increment can't be distinguished from a missing
+    // one, and an alert on it would never fire.
     let text = Metrics::new().text();
     for name in ["refused", "retried"] {
         for class in Class::ALL {
