--- a/standin/src/site.rs
+++ b/standin/src/site.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the users' platform: its store, its replicas, and a proxy that
-//! harms connections. They speak the wire format of `src/platform` as servers.
+//! Stand-ins for the users' platform: its store, its replicas, and a proxy that injects connection
+//! faults. They implement the server side of the wire format of `src/platform`.
 
 pub mod proxy;
 pub mod replica;
--- a/standin/src/site/proxy.rs
+++ b/standin/src/site/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that harms the connections that go through it.
+//! A loopback proxy that injects faults into the connections that pass through it.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -11,24 +11,24 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-/// What happens to bytes on their way.
+/// What the proxy does with the bytes that it receives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// They pass.
+    /// Forwards them at once.
     Pass,
-    /// They pass after a while.
+    /// Forwards them after a delay.
     Delay(Duration),
-    /// Nothing passes; connections stay open.
+    /// Forwards nothing, but keeps connections open.
     Silent,
-    /// Requests pass and answers don't.
+    /// Forwards requests, but no responses.
     OneWay,
-    /// New connections are closed at once.
+    /// Closes new connections at once.
     Refuse,
 }
 
-/// A proxy before one server.
+/// A proxy in front of one server.
 pub struct Proxy {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     mode: Rc<Cell<Mode>>,
     open: Rc<RefCell<Vec<JoinHandle<()>>>>,
@@ -36,10 +36,10 @@
 }
 
 impl Proxy {
-    /// A proxy before `server` on a port of its own.
+    /// Starts a proxy in front of `server` on a free port.
     ///
     /// # Errors
-    /// When no port can be had.
+    /// Fails if no port is free.
     pub async fn start(server: SocketAddr) -> Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -47,14 +47,14 @@
         let open: Rc<RefCell<Vec<JoinHandle<()>>>> = Rc::default();
         let (modes, tasks) = (Rc::clone(&mode), Rc::clone(&open));
         let accept = actix_rt::spawn(async move {
-            while let Ok((near, _)) = listener.accept().await {
+            while let Ok((client, _)) = listener.accept().await {
                 if modes.get() == Mode::Refuse {
                     continue;
                 }
                 let mode = Rc::clone(&modes);
                 let task = actix_rt::spawn(async move {
-                    if let Ok(far) = TcpStream::connect(server).await {
-                        Box::pin(carry(near, far, mode)).await;
+                    if let Ok(upstream) = TcpStream::connect(server).await {
+                        Box::pin(forward(client, upstream, mode)).await;
                     }
                 });
                 let mut tasks = tasks.borrow_mut();
@@ -70,13 +70,13 @@
         })
     }
 
-    /// Stops listening, as the server's own port does when its process ends.
+    /// Stops listening and closes all connections, as when the server's process exits.
     pub fn close(&self) {
         self.accept.abort();
         self.reset();
     }
 
-    /// Treats bytes so from now on, on open connections as well.
+    /// Sets the mode for new and open connections.
     pub fn set(&self, mode: Mode) {
         self.mode.set(mode);
     }
@@ -89,22 +89,22 @@
     }
 }
 
-async fn carry(near: TcpStream, far: TcpStream, mode: Rc<Cell<Mode>>) {
-    // Small messages; the proxy must add no delay of its own.
-    if near.set_nodelay(true).is_err() || far.set_nodelay(true).is_err() {
+async fn forward(client: TcpStream, upstream: TcpStream, mode: Rc<Cell<Mode>>) {
+    // Messages are small, and the proxy must add no delay of its own.
+    if client.set_nodelay(true).is_err() || upstream.set_nodelay(true).is_err() {
         return;
     }
-    let (near_in, near_out) = near.into_split();
-    let (far_in, far_out) = far.into_split();
-    let there = copy(near_in, far_out, Rc::clone(&mode), false);
-    let back = copy(far_in, near_out, mode, true);
+    let (client_in, client_out) = client.into_split();
+    let (upstream_in, upstream_out) = upstream.into_split();
+    let requests = copy(client_in, upstream_out, Rc::clone(&mode), false);
+    let responses = copy(upstream_in, client_out, mode, true);
     tokio::select! {
-        () = there => {}
-        () = back => {}
+        () = requests => {}
+        () = responses => {}
     }
 }
 
-async fn copy<R, W>(mut from: R, mut to: W, mode: Rc<Cell<Mode>>, is_answer: bool)
+async fn copy<R, W>(mut from: R, mut to: W, mode: Rc<Cell<Mode>>, is_response: bool)
 where
     R: AsyncRead + Unpin,
     W: AsyncWrite + Unpin,
@@ -117,7 +117,7 @@
         let passes = |mode| match mode {
             Mode::Pass | Mode::Delay(_) | Mode::Refuse => true,
             Mode::Silent => false,
-            Mode::OneWay => !is_answer,
+            Mode::OneWay => !is_response,
         };
         if let Mode::Delay(delay) = mode.get() {
             sleep(delay).await;
--- a/standin/src/site/replica.rs
+++ b/standin/src/site/replica.rs
@@ -1,5 +1,5 @@
-//! A model replica: slots, a short queue, streams of events that can be gone on
-//! with, and a register of every run for the checks.
+//! A simulated replica with slots, a short queue and resumable event streams. It records every run
+//! of a request for the checks.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -23,90 +23,90 @@
 use tokio::sync::{Semaphore, mpsc};
 use tokio::time::sleep;
 
-/// Requests that may wait for a slot.
-const QUEUE: usize = 8;
-/// A path with this in it crashes the replica that runs it.
-pub const KILLS: &str = "kills";
-/// After so many steps.
-const KILL_STEPS: u32 = 4;
+/// Most requests that wait for a slot.
+const QUEUE_LIMIT: usize = 8;
+/// A request whose path contains this crashes the replica that runs it.
+pub const CRASH_MARKER: &str = "kills";
+/// Events after which such a request crashes the replica.
+const CRASH_STEPS: u32 = 4;
 /// Tokens in one event.
-pub const STRIDE: u64 = 10;
+pub const EVENT_TOKENS: u64 = 10;
 
 /// One run of a request at a replica.
 #[derive(Clone, Debug)]
 pub struct Run {
     /// The replica.
     pub replica: String,
-    /// The path that was asked for.
+    /// The requested path.
     pub path: String,
-    /// The organisation whose it was said to be; empty for none.
+    /// The organisation that the node sent with it; empty for none.
     pub organisation: String,
-    /// True when it came with a caller's key.
-    pub shows_key: bool,
+    /// True if it came with a caller's key.
+    pub has_caller_key: bool,
     /// When it began.
     pub began: Instant,
-    /// When it ended; none while it goes on.
+    /// When it ended; `None` while it runs.
     pub ended: Option<Instant>,
 }
 
-/// Every run so far, by the request's id.
-pub type Register = Rc<RefCell<HashMap<String, Vec<Run>>>>;
+/// Every run so far by request id.
+pub type History = Rc<RefCell<HashMap<String, Vec<Run>>>>;
 
 /// How a replica misbehaves.
 #[derive(Clone, Copy, Debug)]
 pub struct Fault {
-    /// Share of streams that break off midway.
-    pub break_off: f64,
-    /// Share of requests that run and whose answer is lost.
-    pub lose: f64,
-    /// Each event takes so many times as long.
-    pub slow: u32,
+    /// Share of streams that break off.
+    pub break_rate: f64,
+    /// Share of requests that run but get no response.
+    pub loss_rate: f64,
+    /// Factor by which each event takes longer.
+    pub slowdown: u32,
 }
 
 impl Default for Fault {
     fn default() -> Self {
         Self {
-            break_off: 0.0,
-            lose: 0.0,
-            slow: 1,
+            break_rate: 0.0,
+            loss_rate: 0.0,
+            slowdown: 1,
         }
     }
 }
 
-/// A replica that runs.
+/// A running replica.
 pub struct Replica {
-    /// Its identity.
+    /// Its id in the table of endpoints.
     pub id: String,
-    /// How it misbehaves now.
+    /// The fault that it has now.
     pub fault: Cell<Fault>,
     step: Duration,
     slots: Semaphore,
     waiting: Cell<usize>,
     down: Cell<bool>,
-    register: Register,
+    history: History,
     tasks: RefCell<Vec<JoinHandle<()>>>,
 }
 
-/// The text of event `number` of the answer to `path`.
+/// Returns the text of event `number` of the response to `path`.
 pub fn text(path: &str, number: u64) -> String {
     format!("{path}#{number}")
 }
 
-/// The number of events of an answer of `tokens` tokens.
+/// Returns the number of events in a response of `tokens` tokens.
 pub fn events(tokens: u64) -> u64 {
-    tokens.div_ceil(STRIDE).max(1)
+    tokens.div_ceil(EVENT_TOKENS).max(1)
 }
 
 impl Replica {
-    /// Starts a replica that makes an event each `step`.
+    /// Starts a replica that sends an event every `step`.
     ///
     /// # Errors
-    /// When no port can be had.
+    /// Fails if no port is free.
     pub async fn start(
         id: String,
         slots: usize,
         step: Duration,
-        register: Register,
+        history: History,
     ) -> Result<(Rc<Self>, SocketAddr)> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -117,7 +117,7 @@
             slots: Semaphore::new(slots),
             waiting: Cell::new(0),
             down: Cell::new(false),
-            register,
+            history,
             tasks: RefCell::default(),
         });
         let serving = Rc::clone(&replica);
@@ -126,11 +126,11 @@
                 let replica = Rc::clone(&serving);
                 let service = service_fn(move |request| {
                     let replica = Rc::clone(&replica);
-                    async move { replica.answer(request).await }
+                    async move { replica.handle(request).await }
                 });
                 let task = actix_rt::spawn(async move {
                     let serving = http1::Builder::new();
-                    // Whoever asks may leave at any time.
+                    // Clients may disconnect at any time.
                     let _ = serving
                         .serve_connection(TokioIo::new(stream), service)
                         .await;
@@ -144,12 +144,12 @@
         Ok((replica, address))
     }
 
-    /// True once it has crashed.
+    /// Returns true once the replica has crashed.
     pub fn is_down(&self) -> bool {
         self.down.get()
     }
 
-    /// Ends it as a crash does.
+    /// Stops the replica and aborts its connections, as a crash does.
     pub fn crash(&self) {
         self.down.set(true);
         for task in self.tasks.borrow_mut().drain(..) {
@@ -157,60 +157,60 @@
         }
     }
 
-    async fn answer(self: &Rc<Self>, request: Request<Incoming>) -> Result<Response<Stream>, Lost> {
-        let text_of = |name: &str| {
+    async fn handle(self: &Rc<Self>, request: Request<Incoming>) -> Result<Response<Stream>, Lost> {
+        let header = |name: &str| {
             let value = request.headers().get(name);
             value
                 .and_then(|value| value.to_str().ok())
                 .unwrap_or_default()
                 .to_owned()
         };
-        let id = text_of("x-attempt-id");
-        if text_of("x-target-instance") != self.id {
+        let id = header("x-attempt-id");
+        if header("x-target-instance") != self.id {
             return Ok(refuse(StatusCode::MISDIRECTED_REQUEST, &id));
         }
-        if self.waiting.get() >= QUEUE {
+        if self.waiting.get() >= QUEUE_LIMIT {
             return Ok(refuse(StatusCode::SERVICE_UNAVAILABLE, &id));
         }
         let path = request.uri().path().to_owned();
-        let tokens = text_of("x-token-count");
+        let tokens = header("x-token-count");
         let out = tokens.split(',').nth(1).and_then(|out| out.parse().ok());
-        let last: u64 = text_of("last-event-id").parse().unwrap_or(0);
-        let place = Waits::new(self);
+        let last: u64 = header("last-event-id").parse().unwrap_or(0);
+        let waiter = Waiter::new(self);
         let Ok(slot) = self.slots.acquire().await else {
             return Ok(refuse(StatusCode::SERVICE_UNAVAILABLE, &id));
         };
         slot.forget();
-        drop(place);
+        drop(waiter);
         let run = Run {
             replica: self.id.clone(),
             path: path.clone(),
-            organisation: text_of("x-tenant"),
-            shows_key: request.headers().contains_key("authorization"),
+            organisation: header("x-tenant"),
+            has_caller_key: request.headers().contains_key("authorization"),
             began: Instant::now(),
             ended: None,
         };
         let running = Running::new(Rc::clone(self), &id, run);
         let fault = self.fault.get();
-        let lose = rand::rng().random_bool(fault.lose);
+        let is_lost = rand::rng().random_bool(fault.loss_rate);
         if path.contains("never") {
             return Ok(failed(StatusCode::UNPROCESSABLE_ENTITY, &id));
         }
         if path.contains("fails") {
             return Ok(failed(StatusCode::INTERNAL_SERVER_ERROR, &id));
         }
-        if path.contains(KILLS) {
+        if path.contains(CRASH_MARKER) {
             let replica = Rc::clone(self);
-            let after = self.step * KILL_STEPS;
+            let after = self.step * CRASH_STEPS;
             actix_rt::spawn(async move {
                 sleep(after).await;
                 replica.crash();
             });
         }
         let total = events(out.unwrap_or(0));
-        let (pieces, body) = mpsc::channel(4);
-        let step = self.step * fault.slow;
-        let break_at = if rand::rng().random_bool(fault.break_off) {
+        let (chunks, body) = mpsc::channel(4);
+        let step = self.step * fault.slowdown;
+        let break_at = if rand::rng().random_bool(fault.break_rate) {
             rand::rng().random_range(last..=total)
         } else {
             total + 1
@@ -220,29 +220,29 @@
             for number in last + 1..=total {
                 sleep(step).await;
                 if number > break_at {
-                    // Breaks off in the middle of an event.
-                    let _ = pieces.send(Err(Lost)).await;
+                    // Breaks off the stream before this event.
+                    let _ = chunks.send(Err(Lost)).await;
                     return;
                 }
                 let event = format!("id: {number}\ndata: {}\n\n", text(&path, number));
-                if pieces.send(Ok(Bytes::from(event))).await.is_err() {
+                if chunks.send(Ok(Bytes::from(event))).await.is_err() {
                     return;
                 }
             }
         });
-        if lose {
+        if is_lost {
             let _ = task.await;
             return Err(Lost);
         }
-        let mut response = Response::new(Stream::Pieces(body, Ends(task)));
-        sign(&mut response, &id);
+        let mut response = Response::new(Stream::Chunks(body, AbortOnDrop(task)));
+        add_stamp(&mut response, &id);
         let media = hyper::header::HeaderValue::from_static("text/event-stream");
         response.headers_mut().insert("content-type", media);
         Ok(response)
     }
 }
 
-fn sign(response: &mut Response<Stream>, id: &str) {
+fn add_stamp(response: &mut Response<Stream>, id: &str) {
     for (name, value) in [("x-attempt-id", id), ("x-response-stamp", "stamp")] {
         if let Ok(value) = value.parse() {
             response.headers_mut().insert(name, value);
@@ -261,27 +261,27 @@
 fn failed(status: StatusCode, id: &str) -> Response<Stream> {
     let mut response = Response::new(Stream::Empty);
     *response.status_mut() = status;
-    sign(&mut response, id);
+    add_stamp(&mut response, id);
     response
 }
 
-/// A place in the queue.
-struct Waits<'a>(&'a Replica);
+/// A place in the queue, which is freed on drop.
+struct Waiter<'a>(&'a Replica);
 
-impl<'a> Waits<'a> {
+impl<'a> Waiter<'a> {
     fn new(replica: &'a Replica) -> Self {
         replica.waiting.set(replica.waiting.get() + 1);
         Self(replica)
     }
 }
 
-impl Drop for Waits<'_> {
+impl Drop for Waiter<'_> {
     fn drop(&mut self) {
         self.0.waiting.set(self.0.waiting.get() - 1);
     }
 }
 
-/// A run in the register, until it is dropped.
+/// A run in the history. Its end is recorded and its slot freed on drop.
 struct Running {
     replica: Rc<Replica>,
     id: String,
@@ -291,8 +291,8 @@
 impl Running {
     fn new(replica: Rc<Replica>, id: &str, run: Run) -> Self {
         let at = {
-            let mut register = replica.register.borrow_mut();
-            let runs = register.entry(id.to_owned()).or_default();
+            let mut history = replica.history.borrow_mut();
+            let runs = history.entry(id.to_owned()).or_default();
             runs.push(run);
             runs.len() - 1
         };
@@ -304,8 +304,8 @@
 impl Drop for Running {
     fn drop(&mut self) {
         self.replica.slots.add_permits(1);
-        let mut register = self.replica.register.borrow_mut();
-        if let Some(run) = register
+        let mut history = self.replica.history.borrow_mut();
+        if let Some(run) = history
             .get_mut(&self.id)
             .and_then(|runs| runs.get_mut(self.at))
         {
@@ -314,13 +314,13 @@
     }
 }
 
-/// The answer is lost on the way.
+/// The response was dropped by an injected fault.
 #[derive(Clone, Copy, Debug)]
 pub struct Lost;
 
 impl std::fmt::Display for Lost {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the answer was lost on purpose")
+        f.write_str("the response was dropped by an injected fault")
     }
 }
 
@@ -332,10 +332,10 @@
     }
 }
 
-/// Ends a task when it is dropped, as replicas stop when a caller leaves.
-struct Ends(JoinHandle<()>);
+/// Aborts a task on drop, because replicas stop a run when its client disconnects.
+struct AbortOnDrop(JoinHandle<()>);
 
-impl Drop for Ends {
+impl Drop for AbortOnDrop {
     fn drop(&mut self) {
         self.0.abort();
     }
@@ -343,9 +343,9 @@
 
 enum Stream {
     Empty,
-    Pieces(
+    Chunks(
         mpsc::Receiver<Result<Bytes, Lost>>,
-        #[allow(dead_code)] Ends,
+        #[allow(dead_code)] AbortOnDrop,
     ),
 }
 
@@ -359,9 +359,9 @@
     ) -> Poll<Option<Result<Frame<Bytes>, Lost>>> {
         match &mut *self {
             Self::Empty => Poll::Ready(None),
-            Self::Pieces(pieces, _) => pieces
+            Self::Chunks(chunks, _) => chunks
                 .poll_recv(context)
-                .map(|piece| piece.map(|piece| piece.map(Frame::data))),
+                .map(|chunk| chunk.map(|chunk| chunk.map(Frame::data))),
         }
     }
 
--- a/standin/src/site/rows.rs
+++ b/standin/src/site/rows.rs
@@ -1,87 +1,87 @@
-//! The store's rows and their history, without any input or output.
+//! The store's rows and their change history, without any I/O.
 
 use std::collections::{BTreeMap, VecDeque};
 
 /// Table, part and key.
 pub type Id = (String, String, String);
 
-/// A row, or what is left of it.
+/// A row or its tombstone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Which row.
+    /// Id of the row.
     pub id: Id,
-    /// Its value in base64; none when it was removed.
+    /// Its value in base64; `None` if it was removed.
     pub value: Option<String>,
-    /// The transaction that made it so.
+    /// Version of the transaction that wrote or removed it.
     pub version: u64,
 }
 
-/// Conditions and changes that take effect together.
+/// Conditions and changes that are applied atomically.
 #[derive(Clone, Debug, Default)]
-pub struct Change {
-    /// Rows and the version each must have, 0 for none.
+pub struct Transaction {
+    /// Rows with the version that each must have; 0 for a row that must not exist.
     pub expect: Vec<(Id, u64)>,
     /// New values.
     pub set: Vec<(Id, String)>,
-    /// Rows that go.
+    /// Rows to remove.
     pub remove: Vec<Id>,
 }
 
-/// The requested history was dropped.
+/// The requested part of the history has been compacted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Gone;
+pub struct Compacted;
 
-/// All rows.
+/// The rows of all tables, with the history of their changes.
 #[derive(Debug, Default)]
 pub struct Rows {
-    present: BTreeMap<Id, (String, u64)>,
+    current: BTreeMap<Id, (String, u64)>,
     history: VecDeque<Entry>,
-    /// Changes up to this version were dropped.
+    /// Changes up to this version have been compacted.
     dropped: u64,
     version: u64,
 }
 
 impl Rows {
-    /// The newest version.
+    /// Returns the newest version.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Applies a change whole, or tells the present rows of its conditions.
+    /// Applies a transaction atomically if all of its conditions hold.
     ///
     /// # Errors
-    /// The rows when a condition does not hold.
-    pub fn transact(&mut self, change: Change) -> Result<u64, Vec<Entry>> {
-        let version_of = |id: &Id| self.present.get(id).map_or(0, |(_, version)| *version);
-        if change
+    /// Returns the current rows of the conditions if one of them does not hold.
+    pub fn transact(&mut self, transaction: Transaction) -> Result<u64, Vec<Entry>> {
+        let version_of = |id: &Id| self.current.get(id).map_or(0, |(_, version)| *version);
+        if transaction
             .expect
             .iter()
             .any(|(id, version)| version_of(id) != *version)
         {
-            let ids = change.expect.iter().map(|(id, _)| id);
+            let ids = transaction.expect.iter().map(|(id, _)| id);
             return Err(ids.filter_map(|id| self.entry(id)).collect());
         }
         self.version += 1;
         let version = self.version;
-        for (id, value) in change.set {
-            self.present.insert(id.clone(), (value.clone(), version));
-            self.log(id, Some(value));
+        for (id, value) in transaction.set {
+            self.current.insert(id.clone(), (value.clone(), version));
+            self.record(id, Some(value));
         }
-        for id in change.remove {
-            if self.present.remove(&id).is_some() {
-                self.log(id, None);
+        for id in transaction.remove {
+            if self.current.remove(&id).is_some() {
+                self.record(id, None);
             }
         }
         Ok(version)
     }
 
-    fn log(&mut self, id: Id, value: Option<String>) {
+    fn record(&mut self, id: Id, value: Option<String>) {
         let version = self.version;
         self.history.push_back(Entry { id, value, version });
     }
 
     fn entry(&self, id: &Id) -> Option<Entry> {
-        let (value, version) = self.present.get(id)?;
+        let (value, version) = self.current.get(id)?;
         Some(Entry {
             id: id.clone(),
             value: Some(value.clone()),
@@ -89,8 +89,8 @@
         })
     }
 
-    /// Rows of a part of a table from the key `from` to before `to`, where it is not empty,
-    /// and whether more follow.
+    /// Returns rows of a part of a table, from the key `from` up to but without `to` (unbounded if
+    /// empty), and whether more follow.
     pub fn get(
         &self,
         (table, part): (&str, &str),
@@ -100,32 +100,32 @@
     ) -> (Vec<Entry>, bool) {
         let start = (table.to_owned(), part.to_owned(), from.to_owned());
         let mut rows = self
-            .present
+            .current
             .range(start..)
-            .take_while(|((name, of, key), _)| {
-                name == table && of == part && (to.is_empty() || **key < *to)
+            .take_while(|((row_table, row_part, key), _)| {
+                row_table == table && row_part == part && (to.is_empty() || **key < *to)
             })
             .filter_map(|(id, _)| self.entry(id));
         let page: Vec<_> = rows.by_ref().take(limit).collect();
         (page, rows.next().is_some())
     }
 
-    /// The changes of a table after a version.
+    /// Returns the changes of a table after a version.
     ///
     /// # Errors
-    /// [`Gone`] when some of them were dropped.
-    pub fn feed(&self, table: &str, after: u64) -> Result<Vec<Entry>, Gone> {
+    /// Returns [`Compacted`] if some of them have been compacted.
+    pub fn feed(&self, table: &str, after: u64) -> Result<Vec<Entry>, Compacted> {
         if after < self.dropped {
-            return Err(Gone);
+            return Err(Compacted);
         }
-        let news = self.history.iter();
-        Ok(news
+        let entries = self.history.iter();
+        Ok(entries
             .filter(|entry| entry.version > after && entry.id.0 == table)
             .cloned()
             .collect())
     }
 
-    /// Drops the history.
+    /// Drops the history up to the newest version.
     pub fn compact(&mut self) {
         self.dropped = self.version;
         self.history.clear();
--- a/standin/src/site/store.rs
+++ b/standin/src/site/store.rs
@@ -1,5 +1,5 @@
-//! The store over HTTP, one listener a node so that each can be treated
-//! differently.
+//! The store over HTTP. Each node has a listener of its own, so that faults can be injected for
+//! single nodes.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -23,38 +23,38 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout};
 
-use super::rows::{Change, Entry, Gone, Id, Rows};
+use super::rows::{Compacted, Entry, Id, Rows, Transaction};
 
-/// What a transaction takes.
-const TX_TIME: Duration = Duration::from_millis(4);
+/// Time that a transaction takes.
+const TRANSACTION_TIME: Duration = Duration::from_millis(4);
 
-/// How the store treats one node.
+/// The faults that the store shows to one node.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Treatment {
-    /// It answers 503 to everything.
+pub struct Degradation {
+    /// Every call is answered 503.
     pub refuse: bool,
-    /// It has more to write than it can, and answers 429 to writes.
-    pub full: bool,
-    /// It does a share of the writes and does not answer.
-    pub lose: f64,
-    /// Each answer takes so much longer.
-    pub slow: Duration,
+    /// Writes are answered 429, as by an overloaded store.
+    pub overloaded: bool,
+    /// Share of writes that take effect but get no response.
+    pub loss_rate: f64,
+    /// Additional delay of each response.
+    pub delay: Duration,
 }
 
-/// The store; nodes reach it over listeners of their own.
+/// The store, which each node reaches over a listener of its own.
 pub struct Store {
     /// The rows.
     pub rows: RefCell<Rows>,
     objects: RefCell<HashMap<String, Bytes>>,
     changed: Notify,
     began: Instant,
-    /// By the node's number.
-    pub treatment: RefCell<BTreeMap<usize, Treatment>>,
-    /// Calls answered so far.
+    /// Degradations by the index of the node.
+    pub degradations: RefCell<BTreeMap<usize, Degradation>>,
+    /// Number of calls received.
     pub calls: Cell<u64>,
-    /// Calls so far that would change something, whatever became of them.
+    /// Number of write calls received, whether or not they took effect.
     pub writes: Cell<u64>,
-    /// Rows of a range that were sent so far.
+    /// Number of rows returned by range reads.
     pub rows_read: Cell<usize>,
 }
 
@@ -97,49 +97,49 @@
 }
 
 impl Store {
-    /// An empty store.
+    /// Creates an empty store.
     pub fn new() -> Rc<Self> {
         Rc::new(Self {
             rows: RefCell::default(),
             objects: RefCell::default(),
             changed: Notify::new(),
             began: Instant::now(),
-            treatment: RefCell::default(),
+            degradations: RefCell::default(),
             calls: Cell::new(0),
             writes: Cell::new(0),
             rows_read: Cell::new(0),
         })
     }
 
-    /// Writes a row as the platform's own parts do.
+    /// Writes a row as the platform itself does.
     pub fn put(&self, table: &str, key: &str, value: &Value) {
         use base64::Engine as _;
         let value = base64::engine::general_purpose::STANDARD.encode(value.to_string());
         let id = (table.into(), String::new(), key.into());
-        let change = Change {
+        let transaction = Transaction {
             set: vec![(id, value)],
-            ..Change::default()
+            ..Transaction::default()
         };
-        // Without conditions it always takes effect.
-        let _ = self.rows.borrow_mut().transact(change);
+        // A transaction without conditions always takes effect.
+        let _ = self.rows.borrow_mut().transact(transaction);
         self.changed.notify_waiters();
     }
 
-    /// Removes a row as the platform's own parts do.
+    /// Removes a row as the platform itself does.
     pub fn remove(&self, table: &str, key: &str) {
-        let change = Change {
+        let transaction = Transaction {
             remove: vec![(table.into(), String::new(), key.into())],
-            ..Change::default()
+            ..Transaction::default()
         };
-        // Without conditions it always takes effect.
-        let _ = self.rows.borrow_mut().transact(change);
+        // A transaction without conditions always takes effect.
+        let _ = self.rows.borrow_mut().transact(transaction);
         self.changed.notify_waiters();
     }
 
     /// Serves node `node` on a listener of its own.
     ///
     /// # Errors
-    /// When no port can be had.
+    /// Fails if no port is free.
     pub async fn listen(self: &Rc<Self>, node: usize) -> Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -149,11 +149,11 @@
                 let store = Rc::clone(&store);
                 let service = service_fn(move |request| {
                     let store = Rc::clone(&store);
-                    async move { Ok::<_, Infallible>(store.answer(node, request).await) }
+                    async move { Ok::<_, Infallible>(store.handle(node, request).await) }
                 });
                 actix_rt::spawn(async move {
                     let serving = http1::Builder::new();
-                    // A node that goes is the soak's own doing.
+                    // Errors are expected, because the soak kills nodes.
                     let _ = serving
                         .serve_connection(TokioIo::new(stream), service)
                         .await;
@@ -163,10 +163,10 @@
         Ok(address)
     }
 
-    async fn answer(&self, node: usize, request: Request<Incoming>) -> Response<Full<Bytes>> {
+    async fn handle(&self, node: usize, request: Request<Incoming>) -> Response<Full<Bytes>> {
         self.calls.set(self.calls.get() + 1);
-        let treatment = self
-            .treatment
+        let degradation = self
+            .degradations
             .borrow()
             .get(&node)
             .copied()
@@ -175,16 +175,16 @@
         if is_write {
             self.writes.set(self.writes.get() + 1);
         }
-        sleep(TX_TIME + treatment.slow).await;
-        if treatment.refuse {
-            return plain(StatusCode::SERVICE_UNAVAILABLE);
+        sleep(TRANSACTION_TIME + degradation.delay).await;
+        if degradation.refuse {
+            return empty_response(StatusCode::SERVICE_UNAVAILABLE);
         }
-        if is_write && treatment.full {
-            return plain(StatusCode::TOO_MANY_REQUESTS);
+        if is_write && degradation.overloaded {
+            return empty_response(StatusCode::TOO_MANY_REQUESTS);
         }
         let response = self.call(request).await;
-        if is_write && rand::rng().random_bool(treatment.lose) {
-            // It is done; its answer never comes.
+        if is_write && rand::rng().random_bool(degradation.loss_rate) {
+            // The write took effect; the response comes too late for any client.
             sleep(Duration::from_secs(30)).await;
         }
         response
@@ -195,7 +195,7 @@
         let path = parts.uri.path().to_owned();
         let query = query(parts.uri.query().unwrap_or_default());
         let Ok(body) = body.collect().await else {
-            return plain(StatusCode::BAD_REQUEST);
+            return empty_response(StatusCode::BAD_REQUEST);
         };
         let body = body.to_bytes();
         let object = |prefix: &str| path.strip_prefix(prefix).map(ToOwned::to_owned);
@@ -206,31 +206,31 @@
             (&Method::PUT, _) => match object("/-/blob-put/") {
                 Some(name) => {
                     self.objects.borrow_mut().insert(name, body);
-                    plain(StatusCode::OK)
+                    empty_response(StatusCode::OK)
                 }
-                None => plain(StatusCode::NOT_FOUND),
+                None => empty_response(StatusCode::NOT_FOUND),
             },
             (&Method::GET, _) => {
                 let name = object("/-/blob-get/").unwrap_or_default();
                 match self.objects.borrow().get(&name) {
                     Some(object) => Response::new(Full::new(object.clone())),
-                    None => plain(StatusCode::NOT_FOUND),
+                    None => empty_response(StatusCode::NOT_FOUND),
                 }
             }
             (&Method::DELETE, _) => {
                 let name = object("/-/blob-drop/").unwrap_or_default();
                 self.objects.borrow_mut().remove(&name);
-                plain(StatusCode::OK)
+                empty_response(StatusCode::OK)
             }
-            _ => plain(StatusCode::NOT_FOUND),
+            _ => empty_response(StatusCode::NOT_FOUND),
         }
     }
 
     fn transact(&self, body: &[u8]) -> Response<Full<Bytes>> {
         let Ok(tx) = serde_json::from_slice::<Tx>(body) else {
-            return plain(StatusCode::BAD_REQUEST);
+            return empty_response(StatusCode::BAD_REQUEST);
         };
-        let change = Change {
+        let transaction = Transaction {
             expect: tx
                 .expect_rev
                 .into_iter()
@@ -243,11 +243,11 @@
                 .collect(),
             remove: tx.remove.into_iter().map(Into::into).collect(),
         };
-        let result = self.rows.borrow_mut().transact(change);
+        let result = self.rows.borrow_mut().transact(transaction);
         self.changed.notify_waiters();
         match result {
-            Ok(_) => self.rows_answer(StatusCode::OK, &[], false),
-            Err(rows) => self.rows_answer(StatusCode::PRECONDITION_FAILED, &rows, false),
+            Ok(_) => self.rows_response(StatusCode::OK, &[], false),
+            Err(rows) => self.rows_response(StatusCode::PRECONDITION_FAILED, &rows, false),
         }
     }
 
@@ -259,7 +259,7 @@
         let place = (table.as_str(), part.as_str());
         let (rows, more) = self.rows.borrow().get(place, &from, &to, limit);
         self.rows_read.set(self.rows_read.get() + rows.len());
-        self.rows_answer(StatusCode::OK, &rows, more)
+        self.rows_response(StatusCode::OK, &rows, more)
     }
 
     async fn feed(&self, query: &HashMap<String, String>) -> Response<Full<Bytes>> {
@@ -269,22 +269,27 @@
         let until = Instant::now() + wait;
         loop {
             let changed = self.changed.notified();
-            let news = self.rows.borrow().feed(&text("table"), after);
-            match news {
-                Err(Gone) => return plain(StatusCode::GONE),
+            let entries = self.rows.borrow().feed(&text("table"), after);
+            match entries {
+                Err(Compacted) => return empty_response(StatusCode::GONE),
                 Ok(rows) if !rows.is_empty() => {
-                    return self.rows_answer(StatusCode::OK, &rows, false);
+                    return self.rows_response(StatusCode::OK, &rows, false);
                 }
                 Ok(_) => {}
             }
             let left = until.saturating_duration_since(Instant::now());
             if left.is_zero() || timeout(left, changed).await.is_err() {
-                return self.rows_answer(StatusCode::OK, &[], false);
+                return self.rows_response(StatusCode::OK, &[], false);
             }
         }
     }
 
-    fn rows_answer(&self, status: StatusCode, rows: &[Entry], more: bool) -> Response<Full<Bytes>> {
+    fn rows_response(
+        &self,
+        status: StatusCode,
+        rows: &[Entry],
+        more: bool,
+    ) -> Response<Full<Bytes>> {
         let rows: Vec<Value> = rows
             .iter()
             .map(|entry| {
@@ -303,7 +308,7 @@
     }
 }
 
-fn plain(status: StatusCode) -> Response<Full<Bytes>> {
+fn empty_response(status: StatusCode) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     response
--- a/standin/src/soak.rs
+++ b/standin/src/soak.rs
@@ -1,8 +1,7 @@
-//! The fault soak: real nodes as processes on this machine, stand-ins for the
-//! platform around them, faults by seed, and checks of what callers and replicas
-//! see.
+//! The fault soak: runs real nodes as processes on this machine against stand-ins for the platform,
+//! injects faults drawn by seed, and checks what callers and replicas see.
 //!
-//! docs/SOAK.md tells how to run it and what it has found.
+//! docs/SOAK.md describes how to run it and what it has found.
 
 use std::time::Duration;
 
@@ -14,7 +13,7 @@
 pub mod fault;
 pub mod fleet;
 
-/// The subcommand's arguments.
+/// Returns the definition of the `soak` subcommand.
 pub fn command() -> Command {
     Command::new("soak")
         .about("Runs nodes as processes, injects faults by seed and checks the promises")
@@ -43,31 +42,31 @@
         .help(help)
 }
 
-/// What one run is made of.
+/// The parameters of one run.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
-    /// Seed of everything that is drawn.
+    /// Seed of the random draws.
     pub seed: u64,
-    /// How long faults go on.
+    /// How long faults are injected.
     pub length: Duration,
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Replicas.
+    /// Number of replicas.
     pub replicas: usize,
-    /// Requests that crash the replicas that run them, sent again and again.
+    /// Number of killers: requests that crash the replica that runs them and are sent repeatedly.
     pub killers: usize,
-    /// False where only the killers do harm.
+    /// False if nothing but the killers causes faults.
     pub faults: bool,
 }
 
-/// Runs the seeds and prints a line for each.
+/// Runs the seeds and prints one line for each.
 ///
 /// # Errors
-/// When a run can't be set up, or a promise was broken.
+/// Fails if a run cannot be set up or a guarantee was violated.
 pub fn run(arguments: &ArgMatches) -> Result<()> {
     let get = |name| arguments.get_one::<u64>(name).copied().unwrap_or(1);
     let count = |name| usize::try_from(get(name)).unwrap_or(1);
-    let mut broken = 0;
+    let mut failed = 0;
     for seed in get("seed")..get("seed") + get("seeds") {
         let plan = Plan {
             seed,
@@ -79,10 +78,10 @@
         };
         let report = actix_rt::System::new().block_on(fleet::play(plan))?;
         println!("{report}");
-        broken += usize::from(!report.broken.is_empty());
+        failed += usize::from(!report.violations.is_empty());
     }
-    if broken > 0 {
-        bail!("{broken} seeds broke a promise; the lines above name them");
+    if failed > 0 {
+        bail!("{failed} seeds violated a guarantee; see the BROKEN lines above");
     }
     Ok(())
 }
--- a/standin/src/soak/caller.rs
+++ b/standin/src/soak/caller.rs
@@ -1,5 +1,5 @@
-//! Callers: they ask a node which addresses to use, keep connections for as
-//! long as these work, and remember what they were told.
+//! Callers: they look up addresses in a node's directory, keep connections while these work, and
+//! record every response.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -18,44 +18,43 @@
 use serde_json::{Value, json};
 use tokio::time::{sleep, timeout};
 
-use super::check::{Asked, End, Job, whole_stream};
-use super::fleet::{HOST, KEY, World};
-use crate::site::replica::KILLS;
+use super::check::{Attempt, End, Job, expected_stream};
+use super::fleet::{HOST, Harness, KEY};
+use crate::site::replica::CRASH_MARKER;
 
-/// Most time to connect.
-const CONNECT: Duration = Duration::from_secs(1);
-/// Longest time of a request.
-const PATIENCE: Duration = Duration::from_secs(6);
-/// Tokens of an answer.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Longest time that a caller waits for a response.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(6);
+/// Tokens of a response.
 const TOKENS: u64 = 200;
 /// Tokens of an item's output.
 const ITEM_TOKENS: u64 = 600;
-/// A job is known everywhere, and positions show everywhere, after this.
-const SETTLE: Duration = Duration::from_millis(1_500);
-/// How long an unaccepted job is sent again.
-const SUBMIT: Duration = Duration::from_secs(10);
+/// Time after which an accepted job and its results are visible at every node.
+const PROPAGATION_DELAY: Duration = Duration::from_millis(1_500);
+/// How long a job is resubmitted until it is accepted.
+const SUBMIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Answers that promise "not run".
-fn is_promise(status: StatusCode) -> bool {
+/// Returns true if the status guarantees that the request was not run.
+fn guarantees_not_run(status: StatusCode) -> bool {
     matches!(status.as_u16(), 408 | 421 | 429 | 503)
 }
 
-/// Asks questions one after the other until the run closes.
-pub async fn ask(world: Rc<World>, at: usize) {
+/// Sends requests one after the other until the run ends.
+pub async fn send_requests(harness: Rc<Harness>, at: usize) {
     let mut kept: Option<(usize, Conn)> = None;
-    while world.open.get() {
+    while harness.sending.get() {
         sleep(Duration::from_millis(10 + 7 * at as u64)).await;
-        let repeatable = !world.fresh().is_multiple_of(4);
-        let number = world.fresh();
+        let repeatable = !harness.next_number().is_multiple_of(4);
+        let number = harness.next_number();
         let path = format!("/{}/{number}", if repeatable { "q" } else { "v" });
         let id = format!("a{number:x}");
-        // Some callers use a new connection each time.
+        // Every other caller uses a new connection for each request.
         if at % 2 == 1 {
             kept = None;
         }
         let conn = match kept.take() {
             Some((node, conn)) if conn.is_open() => Some((node, conn)),
-            _ => open(&world).await,
+            _ => open(&harness).await,
         };
         let Some((node, mut conn)) = conn else {
             continue;
@@ -66,7 +65,7 @@
             .header("host", HOST)
             .header("x-attempt-id", &id)
             .header("authorization", format!("Token {KEY}"))
-            // Its own word for whose it is; nobody may take it.
+            // A false organisation; nodes must not trust it.
             .header("x-tenant", "another")
             .header("x-token-count", format!("300,{TOKENS}"))
             .header("x-timeout-ms", "5000")
@@ -75,28 +74,31 @@
             return;
         };
         let began = Instant::now();
-        let answer = timeout(PATIENCE, exchange(&mut conn, request)).await;
+        let answer = timeout(REQUEST_TIMEOUT, exchange(&mut conn, request)).await;
         let end = match answer {
             Ok(Some((StatusCode::OK, body))) => {
-                if body != whole_stream(&path, TOKENS) {
-                    world.broke(format!("{id} got a wrong answer of {} bytes", body.len()));
+                if body != expected_stream(&path, TOKENS) {
+                    harness.record_violation(format!(
+                        "{id} was answered with a wrong body of {} bytes",
+                        body.len()
+                    ));
                 }
                 End::Whole
             }
-            Ok(Some((status, _))) if is_promise(status) => End::Refused,
+            Ok(Some((status, _))) if guarantees_not_run(status) => End::Refused,
             Ok(Some((status, _))) if status.is_client_error() => {
-                world.broke(format!("{id} is proper and was answered {status}"));
+                harness.record_violation(format!("{id} is valid and was rejected with {status}"));
                 End::Broken
             }
             _ => End::Broken,
         };
-        world.asked.borrow_mut().push(Asked {
+        harness.attempts.borrow_mut().push(Attempt {
             id,
             repeatable,
             end,
             node,
             began,
-            at: Instant::now(),
+            ended: Instant::now(),
         });
         if end == End::Whole {
             kept = Some((node, conn));
@@ -104,80 +106,84 @@
     }
 }
 
-/// Harms replicas with a request that crashes whatever runs it, until the run closes:
-/// by turns one that may be gone on with, one that may not, and an item of a job.
-pub async fn kill(world: Rc<World>, at: usize) {
+/// Sends killers, which crash every replica that runs them, until the run ends. By index, the
+/// killer is a resumable request, one that is not resumable, or an item of a job.
+pub async fn send_killers(harness: Rc<Harness>, at: usize) {
     match at % 3 {
-        0 => kill_again(&world, &format!("/q/{KILLS}/{at}")).await,
-        1 => kill_again(&world, &format!("/v/{KILLS}/{at}")).await,
-        _ => submit_killer(&world, &format!("/n/{KILLS}/{at}")).await,
+        0 => resend_killer(&harness, &format!("/q/{CRASH_MARKER}/{at}")).await,
+        1 => resend_killer(&harness, &format!("/v/{CRASH_MARKER}/{at}")).await,
+        _ => submit_killer(&harness, &format!("/n/{CRASH_MARKER}/{at}")).await,
     }
 }
 
-/// Sends a request again and again, with an id of its own each time, at nodes drawn by
-/// chance.
-async fn kill_again(world: &Rc<World>, path: &str) {
-    while world.open.get() {
+/// Sends a request repeatedly to random nodes, with a new id each time.
+async fn resend_killer(harness: &Rc<Harness>, path: &str) {
+    while harness.sending.get() {
         sleep(Duration::from_millis(120)).await;
         let headers = vec![
-            ("x-attempt-id", format!("k{:x}", world.fresh())),
+            ("x-attempt-id", format!("k{:x}", harness.next_number())),
             ("x-token-count", format!("300,{TOKENS}")),
             ("x-timeout-ms", "5000".to_owned()),
         ];
-        let (world, path) = (Rc::clone(world), path.to_owned());
-        // The next one does not wait for its answer.
+        let (harness, path) = (Rc::clone(harness), path.to_owned());
+        // The next request does not wait for this response.
         actix_rt::spawn(async move {
-            let answer = call_any(&world, "POST", &path, headers, "question").await;
-            world.killed.borrow_mut().push(answer.map(|it| it.0));
+            let answer = call_any(&harness, "POST", &path, headers, "question").await;
+            harness
+                .killer_statuses
+                .borrow_mut()
+                .push(answer.map(|it| it.0));
         });
     }
 }
 
-/// Submits a job of one item that crashes whatever runs it.
-async fn submit_killer(world: &World, path: &str) {
+/// Submits a job whose only item is a killer.
+async fn submit_killer(harness: &Harness, path: &str) {
     let job = RefCell::new(Job {
-        id: format!("j{:x}", world.fresh()),
+        id: format!("j{:x}", harness.next_number()),
         items: vec![(
-            format!("t{:x}", world.fresh()),
+            format!("t{:x}", harness.next_number()),
             path.to_owned(),
             ITEM_TOKENS,
         )],
         accepted: None,
         refused: false,
-        ended: None,
+        cancelled: None,
         results: BTreeMap::new(),
     });
-    send(world, &job).await;
+    submit_until_accepted(harness, &job).await;
 }
 
-/// A connection to one of the addresses that the directory names, and whose it is.
-async fn open(world: &World) -> Option<(usize, Conn)> {
-    let first = draw(world, world.plan.nodes);
-    for at in 0..world.plan.nodes {
-        let node = (first + at) % world.plan.nodes;
-        let Some(addresses) = resolve(world.directory(node)).await else {
+/// Opens a connection to an address from the directory. Returns it with the index of the node that
+/// owns the address.
+async fn open(harness: &Harness) -> Option<(usize, Conn)> {
+    let first = draw(harness, harness.plan.nodes);
+    for at in 0..harness.plan.nodes {
+        let node = (first + at) % harness.plan.nodes;
+        let Some(addresses) = resolve(harness.directory_address(node)).await else {
             continue;
         };
         let address = {
-            let mut random = world.random.borrow_mut();
+            let mut random = harness.random.borrow_mut();
             addresses.choose(&mut *random).copied()
         }?;
-        let owner = (0..world.plan.nodes).find(|node| world.callers(*node) == address)?;
-        if let Ok(conn) = connect::open(address, CONNECT).await {
+        let owner =
+            (0..harness.plan.nodes).find(|node| harness.caller_address(*node) == address)?;
+        if let Ok(conn) = connect::open(address, CONNECT_TIMEOUT).await {
             return Some((owner, conn));
         }
     }
     None
 }
 
-fn draw(world: &World, below: usize) -> usize {
-    world.random.borrow_mut().random_range(0..below)
+fn draw(harness: &Harness, below: usize) -> usize {
+    harness.random.borrow_mut().random_range(0..below)
 }
 
 async fn resolve(directory: SocketAddr) -> Option<Vec<SocketAddr>> {
     let target = format!("/-/resolve?name={HOST}&region=r&zone=z0");
     let (_, body) = timeout(
-        CONNECT,
+        CONNECT_TIMEOUT,
         call(directory, "GET", &target, Vec::new(), String::new()),
     )
     .await
@@ -197,7 +203,7 @@
     Some((status, String::from_utf8_lossy(&body).into_owned()))
 }
 
-/// One call on a connection of its own.
+/// Makes one call on a new connection.
 async fn call(
     address: SocketAddr,
     method: &str,
@@ -205,7 +211,7 @@
     headers: Vec<(&str, String)>,
     body: String,
 ) -> Option<(StatusCode, String)> {
-    let mut conn = connect::open(address, CONNECT).await.ok()?;
+    let mut conn = connect::open(address, CONNECT_TIMEOUT).await.ok()?;
     let mut request = Request::builder()
         .method(method)
         .uri(target)
@@ -215,37 +221,39 @@
         request = request.header(name, value);
     }
     let request = request.body(Full::new(Bytes::from(body))).ok()?;
-    timeout(PATIENCE, exchange(&mut conn, request)).await.ok()?
+    timeout(REQUEST_TIMEOUT, exchange(&mut conn, request))
+        .await
+        .ok()?
 }
 
-/// Calls a node drawn by chance.
+/// Calls a random node.
 async fn call_any(
-    world: &World,
+    harness: &Harness,
     method: &str,
     target: &str,
     headers: Vec<(&str, String)>,
     body: &str,
 ) -> Option<(StatusCode, String)> {
-    let node = world.callers(draw(world, world.plan.nodes));
+    let node = harness.caller_address(draw(harness, harness.plan.nodes));
     call(node, method, target, headers, body.to_owned()).await
 }
 
-/// Submits jobs, one after the other, and reads each to its end.
-pub async fn submit(world: Rc<World>) {
-    while world.open.get() {
-        let id = format!("j{:x}", world.fresh());
-        let count = 2 + draw(&world, 6);
+/// Submits jobs one after the other, and reads the results of each until all are listed.
+pub async fn submit_jobs(harness: Rc<Harness>) {
+    while harness.sending.get() {
+        let id = format!("j{:x}", harness.next_number());
+        let count = 2 + draw(&harness, 6);
         let items: Vec<(String, String, u64)> = (0..count)
             .map(|_| {
-                let number = world.fresh();
-                let sort = match draw(&world, 40) {
+                let number = harness.next_number();
+                let kind = match draw(&harness, 40) {
                     0 => "never",
                     1 => "fails",
                     _ => "item",
                 };
                 (
                     format!("t{number:x}"),
-                    format!("/n/{sort}/{number}"),
+                    format!("/n/{kind}/{number}"),
                     ITEM_TOKENS,
                 )
             })
@@ -255,18 +263,18 @@
             items,
             accepted: None,
             refused: false,
-            ended: None,
+            cancelled: None,
             results: BTreeMap::new(),
         }));
-        world.jobs.borrow_mut().push(Rc::clone(&job));
-        send(&world, &job).await;
+        harness.jobs.borrow_mut().push(Rc::clone(&job));
+        submit_until_accepted(&harness, &job).await;
         if job.borrow().accepted.is_none() {
             continue;
         }
-        if draw(&world, 8) == 0 {
-            end(&world, &job).await;
+        if draw(&harness, 8) == 0 {
+            cancel(&harness, &job).await;
         }
-        read(&world, &job).await;
+        read_results(&harness, &job).await;
     }
 }
 
@@ -282,80 +290,82 @@
     json!({"requests": requests}).to_string()
 }
 
-async fn send(world: &World, job: &RefCell<Job>) {
+async fn submit_until_accepted(harness: &Harness, job: &RefCell<Job>) {
     let (id, body) = {
         let job = job.borrow();
         (job.id.clone(), body(&job))
     };
-    let until = Instant::now() + SUBMIT;
-    let mut promised = true;
+    let until = Instant::now() + SUBMIT_TIMEOUT;
+    let mut never_run = true;
     while Instant::now() < until {
         let headers = vec![("x-attempt-id", id.clone())];
-        match call_any(world, "POST", &format!("/n/{id}"), headers, &body).await {
+        match call_any(harness, "POST", &format!("/n/{id}"), headers, &body).await {
             Some((StatusCode::ACCEPTED, _)) => {
                 job.borrow_mut().accepted = Some(Instant::now());
                 return;
             }
-            Some((status, _)) if is_promise(status) => {}
+            Some((status, _)) if guarantees_not_run(status) => {}
             Some((status, _)) if status.is_client_error() => {
-                world.broke(format!("job {id} is proper and was answered {status}"));
+                harness
+                    .record_violation(format!("job {id} is valid and was rejected with {status}"));
             }
-            _ => promised = false,
+            _ => never_run = false,
         }
         sleep(Duration::from_millis(150)).await;
     }
-    job.borrow_mut().refused = promised;
+    job.borrow_mut().refused = never_run;
 }
 
-async fn end(world: &World, job: &RefCell<Job>) {
+async fn cancel(harness: &Harness, job: &RefCell<Job>) {
     let id = job.borrow().id.clone();
     for _ in 0..20 {
         let target = format!("/-/lots/{id}");
-        if let Some((StatusCode::OK, _)) = call_any(world, "DELETE", &target, Vec::new(), "").await
+        if let Some((StatusCode::OK, _)) =
+            call_any(harness, "DELETE", &target, Vec::new(), "").await
         {
-            job.borrow_mut().ended = Some(Instant::now());
+            job.borrow_mut().cancelled = Some(Instant::now());
             return;
         }
         sleep(Duration::from_millis(200)).await;
     }
 }
 
-/// Reads a job until every item is listed, now and then from an earlier
-/// position, at nodes drawn by chance.
-async fn read(world: &World, job: &RefCell<Job>) {
+/// Reads a job's results from random nodes until every item is listed. Some reads start at an
+/// earlier position again.
+async fn read_results(harness: &Harness, job: &RefCell<Job>) {
     let (id, total, accepted) = {
         let job = job.borrow();
         (job.id.clone(), job.items.len(), job.accepted)
     };
-    let ended = job.borrow().ended.is_some();
+    let ended = job.borrow().cancelled.is_some();
     let until = ended.then(|| Instant::now() + Duration::from_secs(5));
     while job.borrow().results.len() < total && until.is_none_or(|until| Instant::now() < until) {
         sleep(Duration::from_millis(250)).await;
         let known = job.borrow().results.len();
-        let after = if draw(world, 4) == 0 {
-            draw(world, known + 1)
+        let after = if draw(harness, 4) == 0 {
+            draw(harness, known + 1)
         } else {
             known
         };
         let headers = vec![("x-wait-ms", "500".to_owned())];
         let target = format!("/-/lots/{id}?after={after}");
-        match call_any(world, "GET", &target, headers, "").await {
-            Some((StatusCode::OK, body)) => take(world, job, after, total, &body),
+        match call_any(harness, "GET", &target, headers, "").await {
+            Some((StatusCode::OK, body)) => record_page(harness, job, after, total, &body),
             Some((StatusCode::NOT_FOUND, _))
-                if accepted.is_some_and(|at| at.elapsed() > SETTLE) =>
+                if accepted.is_some_and(|at| at.elapsed() > PROPAGATION_DELAY) =>
             {
-                world.broke(format!("job {id} is accepted and was not found"));
+                harness.record_violation(format!("job {id} was accepted and was not found"));
             }
             _ => {}
         }
     }
 }
 
-fn take(world: &World, job: &RefCell<Job>, after: usize, total: usize, body: &str) {
+fn record_page(harness: &Harness, job: &RefCell<Job>, after: usize, total: usize, body: &str) {
     let answer: Value = serde_json::from_str(body).unwrap_or_default();
     let mut job = job.borrow_mut();
     if answer["total"].as_u64() != u64::try_from(total).ok() {
-        world.broke(format!("job {} has a wrong total", job.id));
+        harness.record_violation(format!("job {} reports a wrong total", job.id));
     }
     let empty = Vec::new();
     for (at, result) in answer["results"]
@@ -372,7 +382,7 @@
             .or_insert_with(|| result.clone());
         if *known != result {
             let what = format!("position {} of job {} changed", after + at, job.id);
-            world.broke(what);
+            harness.record_violation(what);
         }
     }
 }
--- a/standin/src/soak/check.rs
+++ b/standin/src/soak/check.rs
@@ -1,84 +1,85 @@
-//! What was seen, and which promises it breaks.
+//! Records what callers and replicas saw in a run, and checks it against the guarantees of the
+//! system.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::time::{Duration, Instant};
 
-use crate::site::replica::{KILLS, Register, Run, events, text};
+use crate::site::replica::{CRASH_MARKER, History, Run, events, text};
 
-/// How a request of a caller ended.
+/// How a caller's request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum End {
-    /// A whole answer.
+    /// A complete response.
     Whole,
-    /// "Not run".
+    /// A response that guarantees that the request was not run.
     Refused,
-    /// An error that promises nothing, or a connection that broke.
+    /// An error that guarantees nothing, or a broken connection.
     Broken,
 }
 
-/// One request of a caller.
+/// One request that a caller sent.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct Attempt {
     /// Its id.
     pub id: String,
-    /// It may be repeated.
+    /// Whether the request may be run more than once.
     pub repeatable: bool,
     /// How it ended.
     pub end: End,
-    /// The node that was asked.
+    /// The node that received it.
     pub node: usize,
     /// When it was sent.
     pub began: Instant,
-    /// When its caller noted its end.
-    pub at: Instant,
+    /// When its caller saw it end.
+    pub ended: Instant,
 }
 
-/// A node's process was killed or paused.
+/// A moment at which a node's process was killed or paused.
 #[derive(Clone, Copy, Debug)]
-pub struct Strike {
+pub struct Outage {
     /// The node.
     pub node: usize,
-    /// When.
+    /// When the signal was sent.
     pub at: Instant,
 }
 
-/// One batch job of a caller.
+/// One batch job that a caller submitted.
 #[derive(Clone, Debug)]
 pub struct Job {
     /// Its id.
     pub id: String,
     /// Each item's id, path and tokens.
     pub items: Vec<(String, String, u64)>,
-    /// When it was accepted; none if it never was.
+    /// When it was accepted, if it was.
     pub accepted: Option<Instant>,
-    /// Every submission was answered "not run".
+    /// Whether every submission was answered "not run".
     pub refused: bool,
-    /// When its end was acknowledged.
-    pub ended: Option<Instant>,
-    /// What stood at each position, as first read.
+    /// When its cancellation was acknowledged.
+    pub cancelled: Option<Instant>,
+    /// The result at each position, as first read: id, state and output.
     pub results: BTreeMap<usize, (String, String, String)>,
 }
 
-/// What a run came to.
+/// The outcome of a run.
 #[derive(Debug, Default)]
 pub struct Report {
     /// The seed.
     pub seed: u64,
-    /// Requests by how they ended.
+    /// Number of requests by how they ended.
     pub ends: BTreeMap<End, usize>,
-    /// Jobs accepted.
+    /// Number of accepted jobs.
     pub jobs: usize,
-    /// Items listed with their output.
+    /// Number of items listed as complete.
     pub items: usize,
-    /// Faults injected.
+    /// Number of injected faults.
     pub faults: usize,
-    /// Replicas that a request crashed.
+    /// Number of replicas that a killer crashed.
     pub crashed: usize,
-    /// Calls to the store.
-    pub calls: u64,
-    /// Promises that were broken.
-    pub broken: Vec<String>,
+    /// Number of calls to the store.
+    pub store_calls: u64,
+    /// Violated guarantees.
+    pub violations: Vec<String>,
 }
 
 impl fmt::Display for Report {
@@ -86,68 +87,75 @@
         write!(
             f,
             "seed {}: {} faults, requests {:?}, {} jobs, {} items, {} crashed, {} store calls",
-            self.seed, self.faults, self.ends, self.jobs, self.items, self.crashed, self.calls
+            self.seed,
+            self.faults,
+            self.ends,
+            self.jobs,
+            self.items,
+            self.crashed,
+            self.store_calls
         )?;
-        if self.broken.is_empty() {
+        if self.violations.is_empty() {
             return f.write_str(": kept");
         }
-        for broken in &self.broken {
-            write!(f, "\n  BROKEN {broken}")?;
+        for violation in &self.violations {
+            write!(f, "\n  BROKEN {violation}")?;
         }
         Ok(())
     }
 }
 
-/// The whole text that a request for `path` and `tokens` must bring.
-pub fn whole_stream(path: &str, tokens: u64) -> String {
+/// Returns the complete event stream that must answer a request for `path` and `tokens`.
+pub fn expected_stream(path: &str, tokens: u64) -> String {
     let all: Vec<String> = (1..=events(tokens))
         .map(|number| format!("id: {number}\ndata: {}\n\n", text(path, number)))
         .collect();
     all.concat()
 }
 
-/// The output that an item must have.
-pub fn whole_output(path: &str, tokens: u64) -> String {
+/// Returns the output that a completed item must have.
+pub fn expected_output(path: &str, tokens: u64) -> String {
     let texts: Vec<String> = (1..=events(tokens))
         .map(|number| text(path, number))
         .collect();
     texts.join("\n")
 }
 
-/// A line is written at most so long after what it tells.
-pub const WRITTEN: Duration = Duration::from_millis(400);
+/// Longest delay between an event and its line in a node's log.
+pub const LOG_DELAY: Duration = Duration::from_millis(400);
 
 impl Report {
-    /// Notes a broken promise.
-    pub fn broke(&mut self, what: String) {
-        self.broken.push(what);
+    /// Records a violated guarantee.
+    pub fn record_violation(&mut self, what: String) {
+        self.violations.push(what);
     }
 
-    /// Checks the requests against what replicas ran.
-    pub fn check_requests(&mut self, asked: &[Asked], register: &Register) {
-        let register = register.borrow();
-        for request in asked {
+    /// Checks that no request ran that was answered "not run", and that none ran twice that may run
+    /// only once.
+    pub fn check_requests(&mut self, attempts: &[Attempt], history: &History) {
+        let history = history.borrow();
+        for request in attempts {
             *self.ends.entry(request.end).or_default() += 1;
-            let runs = register.get(&request.id).map_or(0, Vec::len);
+            let runs = history.get(&request.id).map_or(0, Vec::len);
             if request.end == End::Refused && runs > 0 {
-                self.broke(format!(
-                    "{} was called not run and ran {runs} times",
+                self.record_violation(format!(
+                    "{} was answered \"not run\" and ran {runs} times",
                     request.id
                 ));
             }
             if !request.repeatable && runs > 1 {
-                self.broke(format!("{} may run once and ran {runs} times", request.id));
+                self.record_violation(format!("{} may run once and ran {runs} times", request.id));
             }
         }
     }
 
-    /// Checks that the nodes' logs tell of each request how it ended: its id on a
-    /// line that ends it, and for a whole answer on one that granted it a place.
-    /// A node that is killed, or was paused before, loses the lines of its last
-    /// moments, which are passed over: those of requests that it had when it was
-    /// struck, or had answered just before. Its caller may note the end after the
-    /// strike, since what was sent still arrives. Other nodes' strikes excuse nothing.
-    pub fn check_logs(&mut self, asked: &[Asked], strikes: &[Strike], logs: &[String]) {
+    /// Checks that the nodes' logs show how each request ended: its id is on a line that ends it
+    /// and, for a complete response, on a line that grants it a slot. A node that is killed, or
+    /// paused before it is killed, loses its last lines. Requests that it was running at that
+    /// moment, or had answered at most [`LOG_DELAY`] before, are therefore not checked. The caller
+    /// may see the end after the kill, because bytes already sent still arrive. Outages of other
+    /// nodes excuse nothing.
+    pub fn check_logs(&mut self, attempts: &[Attempt], outages: &[Outage], logs: &[String]) {
         let mut lines: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
         for line in logs.iter().flat_map(|log| log.lines()) {
             if let Some(id) = line.split(" id=").nth(1) {
@@ -155,111 +163,118 @@
                 lines.entry(id).or_default().push(line);
             }
         }
-        let lost = |request: &Asked| {
-            let hit = |strike: &Strike| {
-                strike.node == request.node
-                    && request.began <= strike.at
-                    && strike.at <= request.at + WRITTEN
+        let may_be_lost = |request: &Attempt| {
+            let overlaps = |outage: &Outage| {
+                outage.node == request.node
+                    && request.began <= outage.at
+                    && outage.at <= request.ended + LOG_DELAY
             };
-            strikes.iter().any(hit)
+            outages.iter().any(overlaps)
         };
-        for request in asked.iter().filter(|request| !lost(request)) {
+        for request in attempts.iter().filter(|request| !may_be_lost(request)) {
             let lines = lines.get(&*request.id).map_or(&[][..], Vec::as_slice);
             let has = |name: &str| lines.iter().any(|line| line.contains(name));
-            let told = match request.end {
+            let is_logged = match request.end {
                 End::Whole => has(" request_granted ") && has(" request_done "),
                 End::Refused => has(" request_refused ") || has(" request_turned_away "),
-                // It may not have reached a node.
+                // The request may not have reached a node.
                 End::Broken => true,
             };
-            if !told {
-                self.broke(format!(
-                    "the logs don't tell how {} ended ({:?}): {lines:?}",
+            if !is_logged {
+                self.record_violation(format!(
+                    "the logs do not show how {} ended ({:?}): {lines:?}",
                     request.id, request.end
                 ));
             }
         }
     }
 
-    /// Checks that a request that crashes replicas is hardly sent to any more once it
-    /// has crashed three and every node has had time to hear of it.
-    pub fn check_killers(&mut self, register: &Register) {
+    /// Checks that a killer runs only a few more times once it has crashed three replicas and the
+    /// verdict has had time to reach every node.
+    pub fn check_killers(&mut self, history: &History) {
         const CRASHES: usize = 3;
-        const CONTACT: Duration = Duration::from_secs(3);
-        const MORE: usize = 3;
-        let register = register.borrow();
+        const PROPAGATION_DELAY: Duration = Duration::from_secs(3);
+        const MAX_LATE_RUNS: usize = 3;
+        let history = history.borrow();
         let mut runs: BTreeMap<&str, Vec<&Run>> = BTreeMap::new();
-        for run in register.values().flatten() {
-            if run.path.contains(KILLS) {
+        for run in history.values().flatten() {
+            if run.path.contains(CRASH_MARKER) {
                 runs.entry(&run.path).or_default().push(run);
             }
         }
         for (path, mut runs) in runs {
             runs.sort_by_key(|run| run.began);
             let mut crashed = BTreeSet::new();
-            let known = runs.iter().find_map(|run| {
+            let blocked_from = runs.iter().find_map(|run| {
                 crashed.insert(&run.replica);
-                (crashed.len() >= CRASHES).then_some(run.began + CONTACT)
+                (crashed.len() >= CRASHES).then_some(run.began + PROPAGATION_DELAY)
             });
             let replicas: BTreeSet<_> = runs.iter().map(|run| &run.replica).collect();
             self.crashed += replicas.len();
             let late = runs
                 .iter()
-                .filter(|run| known.is_some_and(|at| run.began > at));
+                .filter(|run| blocked_from.is_some_and(|at| run.began > at));
             let late = late.count();
-            if late > MORE {
-                self.broke(format!(
-                    "{path} had crashed {CRASHES} replicas and was sent to {late} more; {} ended in all",
+            if late > MAX_LATE_RUNS {
+                self.record_violation(format!(
+                    "{path} had crashed {CRASHES} replicas and was sent to {late} more; {} crashed in all",
                     replicas.len()
                 ));
             }
         }
     }
 
-    /// Checks that endpoints were told whose each request is and were never shown a
-    /// key, and that no node wrote one.
+    /// Checks that each request reached its replica with the right organisation and without the
+    /// caller's key, and that no node logged a key.
     pub fn check_keys(
         &mut self,
         key: &str,
         organisation: &str,
-        register: &Register,
+        history: &History,
         logs: &[String],
     ) {
-        let register = register.borrow();
-        for (id, run) in register
+        let history = history.borrow();
+        for (id, run) in history
             .iter()
             .flat_map(|(id, runs)| runs.iter().map(move |run| (id, run)))
         {
-            if run.shows_key {
-                self.broke(format!("{id} came to a replica with its caller's key"));
+            if run.has_caller_key {
+                self.record_violation(format!("{id} reached a replica with its caller's key"));
             }
             if run.organisation != organisation {
-                self.broke(format!("{id} was said to be of `{}`", run.organisation));
+                self.record_violation(format!(
+                    "{id} reached a replica under organisation `{}`",
+                    run.organisation
+                ));
             }
         }
         let written = logs.iter().filter(|log| log.contains(key)).count();
         if written > 0 {
-            self.broke(format!("{written} nodes wrote a key into their logs"));
+            self.record_violation(format!("{written} nodes wrote a key into their logs"));
         }
     }
 
-    /// Checks the jobs, once everything has had time to end.
-    pub fn check_jobs(&mut self, jobs: &[Job], register: &Register) {
-        /// After this nothing of an ended job may begin.
-        const CANCEL: Duration = Duration::from_secs(3);
-        let register = register.borrow();
+    /// Checks the jobs after all of them have had time to finish: no item is lost, listed twice,
+    /// wrong, or run after the job was refused or cancelled.
+    pub fn check_jobs(&mut self, jobs: &[Job], history: &History) {
+        /// No item of a cancelled job may start later than this after the cancellation.
+        const CANCEL_DELAY: Duration = Duration::from_secs(3);
+        let history = history.borrow();
         for job in jobs {
             self.jobs += usize::from(job.accepted.is_some());
-            let first = |id: &str| register.get(id).and_then(|runs| runs.last()).cloned();
+            let last_run = |id: &str| history.get(id).and_then(|runs| runs.last()).cloned();
             for (id, path, tokens) in &job.items {
-                let last = first(id);
+                let last = last_run(id);
                 if job.refused && last.is_some() {
-                    self.broke(format!("item {id} of refused job {} ran", job.id));
+                    self.record_violation(format!("item {id} of refused job {} ran", job.id));
                 }
-                if let (Some(ended), Some(run)) = (job.ended, &last)
-                    && run.began > ended + CANCEL
+                if let (Some(cancelled), Some(run)) = (job.cancelled, &last)
+                    && run.began > cancelled + CANCEL_DELAY
                 {
-                    self.broke(format!("item {id} of ended job {} ran late", job.id));
+                    self.record_violation(format!(
+                        "item {id} of cancelled job {} ran late",
+                        job.id
+                    ));
                 }
                 let listed: Vec<_> = job
                     .results
@@ -267,21 +282,24 @@
                     .filter(|(other, _, _)| other == id)
                     .collect();
                 if listed.len() > 1 {
-                    self.broke(format!("item {id} of job {} is listed twice", job.id));
+                    self.record_violation(format!("item {id} of job {} is listed twice", job.id));
                 }
-                if job.accepted.is_none() || job.ended.is_some() {
+                if job.accepted.is_none() || job.cancelled.is_some() {
                     continue;
                 }
                 match listed.first() {
-                    None => self.broke(format!("item {id} of job {} was lost", job.id)),
+                    None => self.record_violation(format!("item {id} of job {} was lost", job.id)),
                     Some((_, state, output)) if state == "complete" => {
                         self.items += 1;
-                        if *output != whole_output(path, *tokens) {
-                            self.broke(format!("item {id} of job {} has a wrong text", job.id));
+                        if *output != expected_output(path, *tokens) {
+                            self.record_violation(format!(
+                                "item {id} of job {} has a wrong output",
+                                job.id
+                            ));
                         }
                     }
                     Some(_) if path.contains("never") || path.contains("fails") => {}
-                    Some(_) => self.broke(format!("item {id} of job {} failed", job.id)),
+                    Some(_) => self.record_violation(format!("item {id} of job {} failed", job.id)),
                 }
             }
         }
--- a/standin/src/soak/fault.rs
+++ b/standin/src/soak/fault.rs
@@ -1,4 +1,4 @@
-//! Faults, drawn by seed, in series and overlapping.
+//! Injects faults that are drawn by seed. They start one after the other and may overlap.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -9,20 +9,18 @@
 use rustix::process::Signal;
 use tokio::time::sleep;
 
-use super::fleet::World;
+use super::fleet::Harness;
 use crate::site::proxy::Mode;
 use crate::site::replica::Fault;
-use crate::site::store::Treatment;
+use crate::site::store::Degradation;
 
-/// Pauses between two faults, in milliseconds.
-const PAUSES: std::ops::Range<u64> = 100..900;
-/// How long a fault lasts, in milliseconds; the longest is above the time in
-/// which a lost node is noticed.
-const LENGTHS: std::ops::Range<u64> = 300..4_000;
-/// A stopped process ends within its grace.
-const GRACE: Duration = Duration::from_secs(10);
+/// Pause between the starts of two faults.
+const PAUSES_MS: std::ops::Range<u64> = 100..900;
+/// How long a fault lasts. The longest exceeds the time in which a lost node is detected.
+const LENGTHS_MS: std::ops::Range<u64> = 300..4_000;
+/// Time that a terminated process has to exit before it is killed.
+const GRACE_PERIOD: Duration = Duration::from_secs(10);
 
-/// The kinds of fault.
 #[derive(Clone, Copy, Debug)]
 enum Kind {
     Kill,
@@ -74,30 +72,30 @@
     Kind::ReplicaLeaves,
 ];
 
-/// Injects faults for as long as the plan says.
+/// Injects faults for the length of the plan and waits until all have ended.
 ///
 /// # Errors
-/// When a process or a replica can't be started.
-pub async fn inject(world: &Rc<World>) -> Result<()> {
-    let until = Instant::now() + world.plan.length;
+/// Fails if a process or a replica cannot be started.
+pub async fn inject(harness: &Rc<Harness>) -> Result<()> {
+    let until = Instant::now() + harness.plan.length;
     let mut running = Vec::new();
     while Instant::now() < until {
         let (pause, length, kind, node) = {
-            let mut random = world.random.borrow_mut();
+            let mut random = harness.random.borrow_mut();
             (
-                random.random_range(PAUSES),
-                random.random_range(LENGTHS),
+                random.random_range(PAUSES_MS),
+                random.random_range(LENGTHS_MS),
                 KINDS[random.random_range(0..KINDS.len())],
-                random.random_range(0..world.plan.nodes),
+                random.random_range(0..harness.plan.nodes),
             )
         };
         sleep(Duration::from_millis(pause)).await;
-        world.faults.set(world.faults.get() + 1);
+        harness.faults.set(harness.faults.get() + 1);
         let length = Duration::from_millis(length);
         log::info!("fault {kind:?} node={node} for_ms={}", length.as_millis());
-        let world = Rc::clone(world);
+        let harness = Rc::clone(harness);
         running.push(actix_rt::spawn(async move {
-            strike(&world, kind, node, length).await
+            apply(&harness, kind, node, length).await
         }));
     }
     for fault in running {
@@ -106,21 +104,21 @@
     Ok(())
 }
 
-async fn strike(world: &Rc<World>, kind: Kind, node: usize, length: Duration) -> Result<()> {
-    let target = &world.nodes[node];
+async fn apply(harness: &Rc<Harness>, kind: Kind, node: usize, length: Duration) -> Result<()> {
+    let target = &harness.nodes[node];
     match kind {
         Kind::Kill => {
             target.signal(Signal::KILL);
             sleep(length).await;
-            restart(world, node).await?;
+            restart(harness, node).await?;
         }
         Kind::KillAll => {
-            for node in &world.nodes {
+            for node in &harness.nodes {
                 node.signal(Signal::KILL);
             }
             sleep(length / 4).await;
-            for at in 0..world.plan.nodes {
-                restart(world, at).await?;
+            for at in 0..harness.plan.nodes {
+                restart(harness, at).await?;
             }
         }
         Kind::Pause => {
@@ -130,93 +128,100 @@
         }
         Kind::Terminate => {
             target.signal(Signal::TERM);
-            restart(world, node).await?;
+            restart(harness, node).await?;
         }
         Kind::Hangup => target.signal(Signal::HUP),
         Kind::StoreRefuses => {
-            treat(world, &[node], length, |it| it.refuse = true).await;
+            degrade_store(harness, &[node], length, |it| it.refuse = true).await;
         }
         Kind::StoreRefusesAll => {
-            let all: Vec<usize> = (0..world.plan.nodes).collect();
-            treat(world, &all, length, |it| it.refuse = true).await;
+            let all: Vec<usize> = (0..harness.plan.nodes).collect();
+            degrade_store(harness, &all, length, |it| it.refuse = true).await;
         }
-        Kind::StoreLoses => treat(world, &[node], length, |it| it.lose = 0.4).await,
+        Kind::StoreLoses => degrade_store(harness, &[node], length, |it| it.loss_rate = 0.4).await,
         Kind::StoreSlow => {
-            let slow = Duration::from_millis(200);
-            treat(world, &[node], length, |it| it.slow = slow).await;
+            let delay = Duration::from_millis(200);
+            degrade_store(harness, &[node], length, |it| it.delay = delay).await;
         }
-        Kind::StoreSilent => on_store(world, node, Mode::Silent, length).await,
-        Kind::StoreOneWay => on_store(world, node, Mode::OneWay, length).await,
+        Kind::StoreSilent => set_store_proxy(harness, node, Mode::Silent, length).await,
+        Kind::StoreOneWay => set_store_proxy(harness, node, Mode::OneWay, length).await,
         Kind::StoreReset => target.store.reset(),
-        Kind::Compact => world.store.rows.borrow_mut().compact(),
-        Kind::Config => world.write_config(),
-        Kind::ReplicaCrash => crash(world, length).await?,
-        Kind::ReplicaDark => on_replica(world, Mode::Silent, length).await,
+        Kind::Compact => harness.store.rows.borrow_mut().compact(),
+        Kind::Config => harness.write_config(),
+        Kind::ReplicaCrash => crash(harness, length).await?,
+        Kind::ReplicaDark => set_replica_proxy(harness, Mode::Silent, length).await,
         Kind::ReplicaDelayed => {
-            on_replica(world, Mode::Delay(Duration::from_millis(60)), length).await;
+            set_replica_proxy(harness, Mode::Delay(Duration::from_millis(60)), length).await;
         }
         Kind::ReplicaReset => {
-            if let Some(id) = any_replica(world)
-                && let Some(behind) = world.replicas.borrow().get(&id)
+            if let Some(id) = random_replica(harness)
+                && let Some(upstream) = harness.replicas.borrow().get(&id)
             {
-                behind.proxy.reset();
+                upstream.proxy.reset();
             }
         }
-        Kind::ReplicaSlow => misbehave(world, length, |it| it.slow = 5).await,
-        Kind::ReplicaBreaks => misbehave(world, length, |it| it.break_off = 0.2).await,
-        Kind::ReplicaLoses => misbehave(world, length, |it| it.lose = 0.1).await,
-        Kind::ReplicaLeaves => leave(world, length).await?,
+        Kind::ReplicaSlow => set_replica_fault(harness, length, |it| it.slowdown = 5).await,
+        Kind::ReplicaBreaks => set_replica_fault(harness, length, |it| it.break_rate = 0.2).await,
+        Kind::ReplicaLoses => set_replica_fault(harness, length, |it| it.loss_rate = 0.1).await,
+        Kind::ReplicaLeaves => drain(harness, length).await?,
     }
     Ok(())
 }
 
-/// Starts a node's process again once the old one has ended.
-async fn restart(world: &World, node: usize) -> Result<()> {
-    let node = &world.nodes[node];
-    let until = Instant::now() + GRACE;
-    while node.runs() {
+/// Starts a node's process again once the old one has exited.
+async fn restart(harness: &Harness, node: usize) -> Result<()> {
+    let node = &harness.nodes[node];
+    let until = Instant::now() + GRACE_PERIOD;
+    while node.is_running() {
         sleep(Duration::from_millis(30)).await;
         if Instant::now() > until {
-            // As the platform does with one that outlives its grace; a paused
-            // one can't have ended.
+            // The platform kills a process that outlives its grace period as well. A paused process
+            // cannot exit by itself.
             node.signal(Signal::KILL);
         }
     }
     node.start()
 }
 
-async fn treat<C>(world: &World, nodes: &[usize], length: Duration, change: C)
+async fn degrade_store<C>(harness: &Harness, nodes: &[usize], length: Duration, change: C)
 where
-    C: Fn(&mut Treatment),
+    C: Fn(&mut Degradation),
 {
     for node in nodes {
-        change(world.store.treatment.borrow_mut().entry(*node).or_default());
+        change(
+            harness
+                .store
+                .degradations
+                .borrow_mut()
+                .entry(*node)
+                .or_default(),
+        );
     }
     sleep(length).await;
     for node in nodes {
-        world.store.treatment.borrow_mut().remove(node);
+        harness.store.degradations.borrow_mut().remove(node);
     }
 }
 
-async fn on_store(world: &World, node: usize, mode: Mode, length: Duration) {
-    world.nodes[node].store.set(mode);
+async fn set_store_proxy(harness: &Harness, node: usize, mode: Mode, length: Duration) {
+    harness.nodes[node].store.set(mode);
     sleep(length).await;
-    world.nodes[node].store.set(Mode::Pass);
+    harness.nodes[node].store.set(Mode::Pass);
 }
 
-fn any_replica(world: &World) -> Option<String> {
-    let replicas = world.replicas.borrow();
-    let mut random = world.random.borrow_mut();
+fn random_replica(harness: &Harness) -> Option<String> {
+    let replicas = harness.replicas.borrow();
+    let mut random = harness.random.borrow_mut();
     replicas.keys().choose(&mut *random).cloned()
 }
 
-async fn on_replica(world: &World, mode: Mode, length: Duration) {
-    let Some(id) = any_replica(world) else {
+async fn set_replica_proxy(harness: &Harness, mode: Mode, length: Duration) {
+    let Some(id) = random_replica(harness) else {
         return;
     };
     let set = |mode| {
-        if let Some(behind) = world.replicas.borrow().get(&id) {
-            behind.proxy.set(mode);
+        if let Some(upstream) = harness.replicas.borrow().get(&id) {
+            upstream.proxy.set(mode);
         }
     };
     set(mode);
@@ -224,14 +229,14 @@
     set(Mode::Pass);
 }
 
-async fn misbehave<C>(world: &World, length: Duration, change: C)
+async fn set_replica_fault<C>(harness: &Harness, length: Duration, change: C)
 where
     C: Fn(&mut Fault),
 {
-    let Some(id) = any_replica(world) else {
+    let Some(id) = random_replica(harness) else {
         return;
     };
-    let replica = world
+    let replica = harness
         .replicas
         .borrow()
         .get(&id)
@@ -245,83 +250,83 @@
     }
 }
 
-/// A replica crashes; its entry goes after a while and a new one comes.
-async fn crash(world: &World, length: Duration) -> Result<()> {
-    let Some(id) = any_replica(world) else {
+/// Crashes a replica. After `length` its row is removed and a new replica is started.
+async fn crash(harness: &Harness, length: Duration) -> Result<()> {
+    let Some(id) = random_replica(harness) else {
         return Ok(());
     };
-    let Some(behind) = world.replicas.borrow_mut().remove(&id) else {
+    let Some(upstream) = harness.replicas.borrow_mut().remove(&id) else {
         return Ok(());
     };
-    behind.replica.crash();
-    behind.proxy.set(Mode::Refuse);
-    behind.proxy.reset();
+    upstream.replica.crash();
+    upstream.proxy.set(Mode::Refuse);
+    upstream.proxy.reset();
     sleep(length).await;
-    world.store.remove("servers", &id);
-    world.add_replica().await
+    harness.store.remove("servers", &id);
+    harness.add_replica().await
 }
 
-/// Replaces replicas that a request crashed, for as long as the run lasts.
-pub async fn revive(world: Rc<World>) {
-    /// How long a crashed replica's entry stays, and until another one comes.
+/// Replaces replicas that a killer crashed, until the run ends.
+pub async fn replace_crashed(harness: Rc<Harness>) {
+    /// How long a crashed replica's row stays before it is removed and a new replica is started.
     const DOWN: Duration = Duration::from_secs(2);
     loop {
         sleep(Duration::from_millis(2)).await;
         let down = {
-            let mut replicas = world.replicas.borrow_mut();
+            let mut replicas = harness.replicas.borrow_mut();
             let id = replicas
                 .iter()
-                .find(|(_, behind)| behind.replica.is_down())
+                .find(|(_, upstream)| upstream.replica.is_down())
                 .map(|(id, _)| id.clone());
             id.and_then(|id| Some((id.clone(), replicas.remove(&id)?)))
         };
-        let Some((id, behind)) = down else {
+        let Some((id, upstream)) = down else {
             continue;
         };
-        behind.proxy.close();
-        let world = Rc::clone(&world);
+        upstream.proxy.close();
+        let harness = Rc::clone(&harness);
         actix_rt::spawn(async move {
             sleep(DOWN).await;
-            world.store.remove("servers", &id);
-            if let Err(error) = world.add_replica().await {
-                world.broke(format!("a replica can't be replaced: {error}"));
+            harness.store.remove("servers", &id);
+            if let Err(error) = harness.add_replica().await {
+                harness.record_violation(format!("could not start a replacement replica: {error}"));
             }
         });
     }
 }
 
-/// A replica says that it leaves, serves on for a while, and goes.
-async fn leave(world: &World, length: Duration) -> Result<()> {
-    world.add_replica().await?;
-    let Some(id) = any_replica(world) else {
+/// Marks a replica as draining, lets it serve for a while, and removes it.
+async fn drain(harness: &Harness, length: Duration) -> Result<()> {
+    harness.add_replica().await?;
+    let Some(id) = random_replica(harness) else {
         return Ok(());
     };
-    let Some(behind) = world.replicas.borrow_mut().remove(&id) else {
+    let Some(upstream) = harness.replicas.borrow_mut().remove(&id) else {
         return Ok(());
     };
-    world.write_replica(&id, behind.proxy.address, "draining");
+    harness.write_replica(&id, upstream.proxy.address, "draining");
     sleep(Duration::from_secs(2) + length).await;
-    world.store.remove("servers", &id);
-    behind.replica.crash();
+    harness.store.remove("servers", &id);
+    upstream.replica.crash();
     Ok(())
 }
 
-/// Ends every fault that still goes on.
+/// Ends every active fault.
 ///
 /// # Errors
-/// When a process can't be started.
-pub fn heal(world: &World) -> Result<()> {
-    world.store.treatment.borrow_mut().clear();
-    for node in &world.nodes {
+/// Fails if a process cannot be started.
+pub fn clear_faults(harness: &Harness) -> Result<()> {
+    harness.store.degradations.borrow_mut().clear();
+    for node in &harness.nodes {
         node.store.set(Mode::Pass);
         node.signal(Signal::CONT);
-        if !node.runs() {
+        if !node.is_running() {
             node.start()?;
         }
     }
-    for behind in world.replicas.borrow().values() {
-        behind.proxy.set(Mode::Pass);
-        behind.replica.fault.set(Fault::default());
+    for upstream in harness.replicas.borrow().values() {
+        upstream.proxy.set(Mode::Pass);
+        upstream.replica.fault.set(Fault::default());
     }
     Ok(())
 }
--- a/standin/src/soak/fleet.rs
+++ b/standin/src/soak/fleet.rs
@@ -1,4 +1,4 @@
-//! The processes of a run and what stands around them.
+//! The node processes of a run, with the store, replicas and callers around them.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -19,102 +19,100 @@
 use tokio::time::sleep;
 
 use super::Plan;
-use super::check::{self, Asked, Job, Report, Strike};
+use super::check::{self, Attempt, Job, Outage, Report};
 use super::{caller, fault};
 use crate::site::proxy::Proxy;
-use crate::site::replica::{Register, Replica};
+use crate::site::replica::{History, Replica};
 use crate::site::store::Store;
 
-/// The host that callers name.
+/// Host that callers send.
 pub const HOST: &str = "soak.example";
-/// The organisation that all callers are of.
+/// Organisation of all callers.
 pub const ORGANISATION: &str = "kitchens";
-/// Its key.
+/// Key of [`ORGANISATION`].
 pub const KEY: &str = "soak-key-5d07b89c2e41";
-/// The service's name.
 const SERVICE: &str = "llm";
 /// Slots of a replica.
 const SLOTS: usize = 4;
-/// Time that a replica takes for an event.
-const STEP: Duration = Duration::from_millis(8);
-/// Callers that ask questions, and callers that submit jobs.
+/// Interval between the events of a replica's stream.
+const EVENT_INTERVAL: Duration = Duration::from_millis(8);
+/// Number of callers that send online requests, and of callers that submit jobs.
 const CALLERS: usize = 6;
 const SUBMITTERS: usize = 2;
-/// How long nodes have to become ready.
-const START: Duration = Duration::from_secs(15);
-/// How long the jobs have to end once nothing is harmed any more.
-const FINISH: Duration = Duration::from_secs(40);
-/// First port of the nodes; each kind has the same port on every node.
+/// Time that the nodes have to start listening.
+const READY_TIMEOUT: Duration = Duration::from_secs(15);
+/// Time that the jobs have to finish after the last fault.
+const JOB_TIMEOUT: Duration = Duration::from_secs(40);
+/// First port of the nodes. Each kind of listener has the same port on every node.
 const FIRST_PORT: u16 = 21_000;
 
-/// A node's process.
+/// A node's process and its proxy to the store.
 pub struct Node {
-    /// Its number.
+    /// Index of the node.
     pub at: usize,
     ip: Ipv4Addr,
     settings: PathBuf,
     log: PathBuf,
     child: RefCell<Option<Child>>,
-    /// When it was killed or paused; lines that it had not written yet may be
-    /// lost then.
-    strikes: RefCell<Vec<Strike>>,
-    /// The way to the store.
+    /// When it was killed or paused; lines that it had not logged yet may be lost.
+    outages: RefCell<Vec<Outage>>,
+    /// Proxy between the node and the store.
     pub store: Proxy,
 }
 
-/// A replica and the way to it.
-pub struct Behind {
+/// A replica with the proxy through which nodes reach it.
+pub struct Upstream {
     /// The replica.
     pub replica: Rc<Replica>,
-    /// The way to it.
+    /// The proxy in front of it.
     pub proxy: Proxy,
 }
 
-/// A run.
-pub struct World {
-    /// What it is made of.
+/// The state of a run.
+pub struct Harness {
+    /// Parameters of the run.
     pub plan: Plan,
     /// The store.
     pub store: Rc<Store>,
     /// The nodes.
     pub nodes: Vec<Node>,
-    /// The replicas that are registered.
-    pub replicas: RefCell<BTreeMap<String, Behind>>,
-    /// Every run at a replica.
-    pub register: Register,
-    /// Requests of callers.
-    pub asked: RefCell<Vec<Asked>>,
-    /// What callers of killers were told.
-    pub killed: RefCell<Vec<Option<StatusCode>>>,
-    /// Jobs of callers.
+    /// The registered replicas by id.
+    pub replicas: RefCell<BTreeMap<String, Upstream>>,
+    /// Every execution of a request at a replica.
+    pub history: History,
+    /// Requests that callers sent.
+    pub attempts: RefCell<Vec<Attempt>>,
+    /// Statuses of the responses to killers; `None` without a response.
+    pub killer_statuses: RefCell<Vec<Option<StatusCode>>>,
+    /// Jobs that callers submitted.
     pub jobs: RefCell<Vec<Rc<RefCell<Job>>>>,
-    /// Promises seen broken while it runs.
-    pub broken: RefCell<Vec<String>>,
-    /// False once callers ask nothing new.
-    pub open: Cell<bool>,
-    /// Faults injected.
+    /// Guarantees seen violated during the run.
+    pub violations: RefCell<Vec<String>>,
+    /// False once callers send no more requests.
+    pub sending: Cell<bool>,
+    /// Number of injected faults.
     pub faults: Cell<usize>,
-    /// Everything random.
+    /// Source of all random draws.
     pub random: RefCell<ChaCha8Rng>,
-    next: Cell<u64>,
-    config: Cell<u64>,
+    last_number: Cell<u64>,
+    config_version: Cell<u64>,
     port: u16,
 }
 
-impl World {
-    /// A number that was not drawn before in this run.
-    pub fn fresh(&self) -> u64 {
-        self.next.set(self.next.get() + 1);
-        self.next.get()
+impl Harness {
+    /// Returns a number that is unique in this run.
+    pub fn next_number(&self) -> u64 {
+        self.last_number.set(self.last_number.get() + 1);
+        self.last_number.get()
     }
 
-    /// Where callers reach a node.
-    pub fn callers(&self, at: usize) -> SocketAddr {
+    /// Returns the address of a node's front listener.
+    pub fn caller_address(&self, at: usize) -> SocketAddr {
         self.address(at, 0)
     }
 
-    /// Where a node's directory is.
-    pub fn directory(&self, at: usize) -> SocketAddr {
+    /// Returns the address of a node's directory.
+    pub fn directory_address(&self, at: usize) -> SocketAddr {
         self.address(at, 3)
     }
 
@@ -122,16 +120,16 @@
         SocketAddr::new(IpAddr::V4(ip(at)), self.port + offset)
     }
 
-    /// Notes a broken promise.
-    pub fn broke(&self, what: String) {
-        self.broken.borrow_mut().push(what);
+    /// Records a violated guarantee.
+    pub fn record_violation(&self, what: String) {
+        self.violations.borrow_mut().push(what);
     }
 
     /// Writes the next version of the configuration.
     pub fn write_config(&self) {
-        // Versions grow in uneven steps.
-        let version = self.config.get() + 1 + self.fresh() % 3;
-        self.config.set(version);
+        // Versions may skip numbers.
+        let version = self.config_version.get() + 1 + self.next_number() % 3;
+        self.config_version.set(version);
         let route = |name: &str, kind: &str, resumable: bool| {
             json!({"name": name, "host": HOST, "prefix": format!("/{name}/"), "type": kind,
                    "timeout_ms": 5_000, "goal_ms": 300, "priority": 0, "service": SERVICE,
@@ -153,20 +151,20 @@
     /// Starts and registers a replica.
     ///
     /// # Errors
-    /// When no port can be had.
+    /// Fails if no port is free.
     pub async fn add_replica(&self) -> Result<()> {
-        let id = format!("i-{}", self.fresh());
-        let register = Rc::clone(&self.register);
-        let (replica, address) = Replica::start(id.clone(), SLOTS, STEP, register).await?;
+        let id = format!("i-{}", self.next_number());
+        let history = Rc::clone(&self.history);
+        let (replica, address) = Replica::start(id.clone(), SLOTS, EVENT_INTERVAL, history).await?;
         let proxy = Proxy::start(address).await?;
         self.write_replica(&id, proxy.address, "ready");
         self.replicas
             .borrow_mut()
-            .insert(id, Behind { replica, proxy });
+            .insert(id, Upstream { replica, proxy });
         Ok(())
     }
 
-    /// Writes a replica's row.
+    /// Writes a replica's row to the store.
     pub fn write_replica(&self, id: &str, address: SocketAddr, state: &str) {
         let row = json!({"service": SERVICE, "address": address, "zone": "z0", "version": "v1",
                          "slots": SLOTS, "state": state, "cold_left_ms": 0, "seq": 1});
@@ -179,10 +177,10 @@
 }
 
 impl Node {
-    /// Starts its process.
+    /// Starts the process.
     ///
     /// # Errors
-    /// When the program is not there.
+    /// Fails if the binary is missing.
     pub fn start(&self) -> Result<()> {
         let program = program()?;
         let log = File::options().create(true).append(true).open(&self.log)?;
@@ -193,15 +191,20 @@
             .stdout(Stdio::from(log.try_clone()?))
             .stderr(Stdio::from(log))
             .spawn()
-            .wrap_err_with(|| format!("can't start {}; build it first", program.display()))?;
+            .wrap_err_with(|| {
+                format!(
+                    "could not start {}; build it with `cargo build` first",
+                    program.display()
+                )
+            })?;
         *self.child.borrow_mut() = Some(child);
         Ok(())
     }
 
-    /// Sends its process a signal; nothing happens to one that has ended.
+    /// Sends the process a signal. Does nothing if it has exited.
     pub fn signal(&self, signal: Signal) {
         if matches!(signal, Signal::KILL | Signal::STOP) {
-            self.strikes.borrow_mut().push(Strike {
+            self.outages.borrow_mut().push(Outage {
                 node: self.at,
                 at: Instant::now(),
             });
@@ -209,13 +212,13 @@
         log::info!("signal {signal:?} node={}", self.at);
         if let Some(child) = self.child.borrow().as_ref() {
             let pid = i32::try_from(child.id()).ok().and_then(Pid::from_raw);
-            // It may have ended by itself.
+            // The process may have exited already.
             let _ = pid.map(|pid| kill_process(pid, signal));
         }
     }
 
-    /// True while its process runs.
-    pub fn runs(&self) -> bool {
+    /// Returns true while the process runs.
+    pub fn is_running(&self) -> bool {
         match self.child.borrow_mut().as_mut() {
             Some(child) => matches!(child.try_wait(), Ok(None)),
             None => false,
@@ -226,14 +229,14 @@
 impl Drop for Node {
     fn drop(&mut self) {
         if let Some(mut child) = self.child.borrow_mut().take() {
-            // It may have ended by itself.
+            // The process may have exited already.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 }
 
-/// The program, beside this one.
+/// Returns the path of the `auburnspoke` binary, which lies beside this one.
 fn program() -> Result<PathBuf> {
     let mut folder = std::env::current_exe()?;
     folder.pop();
@@ -243,47 +246,53 @@
     Ok(folder.join("auburnspoke"))
 }
 
-/// Plays one seed.
+/// Runs one seed.
 ///
 /// # Errors
-/// When the processes can't be started.
+/// Fails if the processes cannot be started.
 pub async fn play(plan: Plan) -> Result<Report> {
     let folder = std::env::temp_dir().join(format!("soak-{}-{}", std::process::id(), plan.seed));
     std::fs::create_dir_all(&folder)?;
-    let world = Rc::new(set_up(plan, &folder).await?);
-    wait_ready(&world).await?;
+    let harness = Rc::new(set_up(plan, &folder).await?);
+    wait_ready(&harness).await?;
     let mut callers = Vec::new();
     for at in 0..CALLERS {
-        callers.push(actix_rt::spawn(caller::ask(Rc::clone(&world), at)));
+        callers.push(actix_rt::spawn(caller::send_requests(
+            Rc::clone(&harness),
+            at,
+        )));
     }
     for _ in 0..SUBMITTERS {
-        callers.push(actix_rt::spawn(caller::submit(Rc::clone(&world))));
+        callers.push(actix_rt::spawn(caller::submit_jobs(Rc::clone(&harness))));
     }
     for at in 0..plan.killers {
-        callers.push(actix_rt::spawn(caller::kill(Rc::clone(&world), at)));
+        callers.push(actix_rt::spawn(caller::send_killers(
+            Rc::clone(&harness),
+            at,
+        )));
     }
-    actix_rt::spawn(fault::revive(Rc::clone(&world)));
+    actix_rt::spawn(fault::replace_crashed(Rc::clone(&harness)));
     if plan.faults {
-        fault::inject(&world).await?;
+        fault::inject(&harness).await?;
     } else {
         sleep(plan.length).await;
     }
-    fault::heal(&world)?;
-    // What was served before is served again.
+    fault::clear_faults(&harness)?;
+    // Lets service recover from the last faults.
     sleep(Duration::from_secs(3)).await;
-    world.open.set(false);
-    let until = Instant::now() + FINISH;
+    harness.sending.set(false);
+    let until = Instant::now() + JOB_TIMEOUT;
     while Instant::now() < until && callers.iter().any(|caller| !caller.is_finished()) {
         sleep(Duration::from_millis(100)).await;
     }
     for caller in callers {
         caller.abort();
     }
-    // The nodes still run. Read at once, their logs would lack the end of an answer
-    // that a caller got in the last moment.
-    sleep(check::WRITTEN).await;
-    let report = report(&world);
-    if report.broken.is_empty() {
+    // The nodes still run and log with a delay. Without this wait, the line for a response that a
+    // caller received in the last moment would be missing.
+    sleep(check::LOG_DELAY).await;
+    let report = report(&harness);
+    if report.violations.is_empty() {
         std::fs::remove_dir_all(&folder)?;
     } else {
         eprintln!("logs of seed {} are in {}", plan.seed, folder.display());
@@ -291,46 +300,46 @@
     Ok(report)
 }
 
-fn report(world: &World) -> Report {
+fn report(harness: &Harness) -> Report {
     let mut report = Report {
-        seed: world.plan.seed,
-        faults: world.faults.get(),
-        calls: world.store.calls.get(),
-        broken: world.broken.take(),
+        seed: harness.plan.seed,
+        faults: harness.faults.get(),
+        store_calls: harness.store.calls.get(),
+        violations: harness.violations.take(),
         ..Report::default()
     };
-    report.check_requests(&world.asked.borrow(), &world.register);
-    report.check_killers(&world.register);
-    let strikes: Vec<Strike> = world
+    report.check_requests(&harness.attempts.borrow(), &harness.history);
+    report.check_killers(&harness.history);
+    let outages: Vec<Outage> = harness
         .nodes
         .iter()
-        .flat_map(|node| node.strikes.borrow().clone())
+        .flat_map(|node| node.outages.borrow().clone())
         .collect();
-    match logs(world) {
+    match logs(harness) {
         Ok(logs) => {
-            report.check_logs(&world.asked.borrow(), &strikes, &logs);
-            report.check_keys(KEY, ORGANISATION, &world.register, &logs);
+            report.check_logs(&harness.attempts.borrow(), &outages, &logs);
+            report.check_keys(KEY, ORGANISATION, &harness.history, &logs);
         }
-        Err(error) => report.broke(format!("the nodes' logs can't be read: {error}")),
+        Err(error) => report.record_violation(format!("could not read the nodes' logs: {error}")),
     }
-    let jobs: Vec<Job> = world
+    let jobs: Vec<Job> = harness
         .jobs
         .borrow()
         .iter()
         .map(|job| job.borrow().clone())
         .collect();
-    report.check_jobs(&jobs, &world.register);
+    report.check_jobs(&jobs, &harness.history);
     report
 }
 
-fn logs(world: &World) -> std::io::Result<Vec<String>> {
+fn logs(harness: &Harness) -> std::io::Result<Vec<String>> {
     let read = |node: &Node| std::fs::read_to_string(&node.log);
-    world.nodes.iter().map(read).collect()
+    harness.nodes.iter().map(read).collect()
 }
 
-async fn set_up(plan: Plan, folder: &Path) -> Result<World> {
+async fn set_up(plan: Plan, folder: &Path) -> Result<Harness> {
     let store = Store::new();
-    // Runs side by side must not share ports.
+    // Concurrent runs must not share ports.
     let port = FIRST_PORT + u16::try_from(std::process::id() % 400)? * 20;
     let mut nodes = Vec::new();
     for at in 0..plan.nodes {
@@ -341,42 +350,42 @@
             settings: folder.join(format!("node-{at}.toml")),
             log: folder.join(format!("node-{at}.log")),
             child: RefCell::default(),
-            strikes: RefCell::default(),
+            outages: RefCell::default(),
             store: proxy,
         });
     }
-    let world = World {
+    let harness = Harness {
         plan,
         store,
         nodes,
         replicas: RefCell::default(),
-        register: Register::default(),
-        asked: RefCell::default(),
-        killed: RefCell::default(),
+        history: History::default(),
+        attempts: RefCell::default(),
+        killer_statuses: RefCell::default(),
         jobs: RefCell::default(),
-        broken: RefCell::default(),
-        open: Cell::new(true),
+        violations: RefCell::default(),
+        sending: Cell::new(true),
         faults: Cell::new(0),
         random: RefCell::new(ChaCha8Rng::seed_from_u64(plan.seed)),
-        next: Cell::new(plan.seed * 1_000_000),
-        config: Cell::new(0),
+        last_number: Cell::new(plan.seed * 1_000_000),
+        config_version: Cell::new(0),
         port,
     };
-    world.write_config();
+    harness.write_config();
     for _ in 0..plan.replicas {
-        world.add_replica().await?;
+        harness.add_replica().await?;
     }
-    for node in &world.nodes {
-        std::fs::write(&node.settings, settings(&world, node))?;
+    for node in &harness.nodes {
+        std::fs::write(&node.settings, settings(&harness, node))?;
         node.start()?;
     }
-    Ok(world)
+    Ok(harness)
 }
 
-fn settings(world: &World, node: &Node) -> String {
-    let (ip, port) = (node.ip, world.port);
-    let seeds: Vec<String> = (0..world.plan.nodes.min(3))
-        .map(|at| format!("\"{}\"", world.address(at, 2)))
+fn settings(harness: &Harness, node: &Node) -> String {
+    let (ip, port) = (node.ip, harness.port);
+    let seeds: Vec<String> = (0..harness.plan.nodes.min(3))
+        .map(|at| format!("\"{}\"", harness.address(at, 2)))
         .collect();
     format!(
         "node = \"n{at}\"\nzone = \"z{zone}\"\nregion = \"r\"\nport_range = [{first}, {last}]\n\
@@ -396,21 +405,28 @@
     )
 }
 
-async fn wait_ready(world: &World) -> Result<()> {
-    let until = Instant::now() + START;
-    for node in &world.nodes {
-        while TcpStream::connect(world.callers(node.at)).await.is_err() {
+async fn wait_ready(harness: &Harness) -> Result<()> {
+    let until = Instant::now() + READY_TIMEOUT;
+    for node in &harness.nodes {
+        while TcpStream::connect(harness.caller_address(node.at))
+            .await
+            .is_err()
+        {
             ensure!(
-                node.runs(),
-                "node {} ended; see {}",
+                node.is_running(),
+                "node {} exited during start-up; see {}",
                 node.at,
                 node.log.display()
             );
-            ensure!(Instant::now() < until, "node {} does not listen", node.at);
+            ensure!(
+                Instant::now() < until,
+                "node {} did not start to listen in time",
+                node.at
+            );
             sleep(Duration::from_millis(50)).await;
         }
     }
-    // Configuration, replicas and members are learnt within a second.
+    // Nodes learn the configuration, replicas and members within a second.
     sleep(Duration::from_millis(1_500)).await;
     Ok(())
 }
--- a/standin/tests/batch_owners.rs
+++ b/standin/tests/batch_owners.rs
@@ -1,4 +1,5 @@
-//! A batch job that changes hands, on real nodes' parts in one process.
+//! Tests batch jobs whose owner changes or loses the store, with the batch parts of several nodes
+//! in one process.
 
 #[path = "support/fleet.rs"]
 mod fleet;
@@ -8,18 +9,17 @@
 use fleet::{Fleet, NODES};
 use googletest::prelude::*;
 use hyper::StatusCode;
-use standin::site::store::Treatment;
+use standin::site::store::Degradation;
 use tokio::time::sleep;
 
-/// Runs that an endpoint may end with an error before an item is given up.
+/// Runs that may fail before an item is given up.
 const ATTEMPTS: u32 = 4;
 
 #[gtest]
 fn owner_changes_item_fails() {
-    // An item fails wherever it runs. Its job changes hands after each failure:
-    // nodes are stopped one after the other, or taken for gone. Were failures
-    // counted by each owner for itself, the item would run without end and hold
-    // slots that users wait for, and its job would never be over.
+    // An item fails at every run, and its job moves to another owner after each failure, because
+    // the owner is stopped. If each owner counted failures from zero, the item would run without
+    // end, hold slots that online requests wait for, and its job would never end.
     let runs = actix_rt::System::new().block_on(async {
         let fleet = Fleet::start(ATTEMPTS).await;
         fleet.submit("/n/fails").await;
@@ -40,17 +40,16 @@
 
 #[gtest]
 fn submit_store_silent() {
-    // A node is cut off from the store, and a job is sent to it. It has heard
-    // nothing for seconds, so it knows that it can't keep the job. Were it to try
-    // all the same, the caller would wait for half a second and more before it
-    // tries another node, and be late with its whole job.
+    // A job is submitted to a node that has had no response from the store for seconds. The node
+    // must refuse the job at once. If it tried to write the job first, the caller would wait half a
+    // second or more before it tries another node.
     let (status, writes) = actix_rt::System::new().block_on(async {
         let fleet = Fleet::start(ATTEMPTS).await;
-        let silent = Treatment {
-            slow: Duration::from_secs(60),
-            ..Treatment::default()
+        let silent = Degradation {
+            delay: Duration::from_secs(60),
+            ..Degradation::default()
         };
-        fleet.store.treatment.borrow_mut().insert(0, silent);
+        fleet.store.degradations.borrow_mut().insert(0, silent);
         sleep(Duration::from_secs(4)).await;
         let before = fleet.store.writes.get();
         let status = fleet.try_submit("/n/works").await;
@@ -62,17 +61,17 @@
 
 #[gtest]
 fn submit_store_back() {
-    // The same node's store answers again. Jobs must be taken at once, not only
-    // after the next of them has found out.
+    // Once the store answers again, the node must accept the next job at once. It must not need a
+    // refused job to detect that the store is back.
     let status = actix_rt::System::new().block_on(async {
         let fleet = Fleet::start(ATTEMPTS).await;
-        let refuse = Treatment {
+        let refuse = Degradation {
             refuse: true,
-            ..Treatment::default()
+            ..Degradation::default()
         };
-        fleet.store.treatment.borrow_mut().insert(0, refuse);
+        fleet.store.degradations.borrow_mut().insert(0, refuse);
         sleep(Duration::from_secs(4)).await;
-        fleet.store.treatment.borrow_mut().remove(&0);
+        fleet.store.degradations.borrow_mut().remove(&0);
         sleep(Duration::from_secs(2)).await;
         fleet.try_submit("/n/works").await
     });
--- a/standin/tests/quarantine_fleet.rs
+++ b/standin/tests/quarantine_fleet.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the endpoints that run them, before real nodes.
+//! Tests real nodes against requests that crash the endpoints that run them.
 
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use googletest::prelude::*;
 use standin::soak::{Plan, fleet};
 
-/// Runs of one process share their ports.
+/// Runs of one process use the same ports, so they must not overlap.
 static PORTS: Mutex<()> = Mutex::new(());
 
 fn play(killers: usize) {
@@ -20,18 +20,18 @@
         faults: false,
     };
     let report = actix_rt::System::new().block_on(fleet::play(plan)).unwrap();
-    expect_that!(report.broken, is_empty(), "{report}");
+    expect_that!(report.violations, is_empty(), "{report}");
 }
 
-/// One request crashes every endpoint that runs it and is sent again and again, at
-/// every node: nobody else is served any more.
+/// Guards against one request that crashes every endpoint that runs it and is sent repeatedly to
+/// every node: without quarantine no other caller is served any more.
 #[gtest]
 fn killer_repeats_everywhere() {
     play(1);
 }
 
-/// The same with one that may not be gone on with, and with an item of a batch job,
-/// which its owner runs again by itself.
+/// The same with a request that is not resumable, and with an item of a batch job, which its owner
+/// retries by itself.
 #[gtest]
 fn killers_of_each_kind() {
     play(3);
--- a/standin/tests/site_rows.rs
+++ b/standin/tests/site_rows.rs
@@ -1,14 +1,14 @@
-//! The stand-in store's rows behave as the users' pages say.
+//! Tests that the rows of the stand-in store behave as the users' documentation describes.
 
 use googletest::prelude::*;
-use standin::site::rows::{Change, Gone, Id, Rows};
+use standin::site::rows::{Compacted, Id, Rows, Transaction};
 
 fn id(key: &str) -> Id {
     ("t".into(), String::new(), key.into())
 }
 
 fn put(rows: &mut Rows, key: &str, expect: Option<u64>) -> bool {
-    let change = Change {
+    let transaction = Transaction {
         expect: expect
             .map(|version| (id(key), version))
             .into_iter()
@@ -16,7 +16,7 @@
         set: vec![(id(key), "eA==".into())],
         remove: Vec::new(),
     };
-    rows.transact(change).is_ok()
+    rows.transact(transaction).is_ok()
 }
 
 #[gtest]
@@ -33,14 +33,14 @@
     let mut rows = Rows::default();
     put(&mut rows, "a", None);
     put(&mut rows, "b", None);
-    let change = Change {
+    let transaction = Transaction {
         remove: vec![id("a")],
-        ..Change::default()
+        ..Transaction::default()
     };
-    rows.transact(change).unwrap();
-    let news = rows.feed("t", 1).unwrap();
-    expect_that!(news.len(), eq(2));
-    expect_that!(news[1].value, none());
+    rows.transact(transaction).unwrap();
+    let changes = rows.feed("t", 1).unwrap();
+    expect_that!(changes.len(), eq(2));
+    expect_that!(changes[1].value, none());
 }
 
 #[gtest]
@@ -49,7 +49,7 @@
     put(&mut rows, "a", None);
     put(&mut rows, "a", None);
     rows.compact();
-    expect_that!(rows.feed("t", 1), err(eq(&Gone)));
+    expect_that!(rows.feed("t", 1), err(eq(&Compacted)));
     expect_that!(rows.feed("t", 2), ok(is_empty()));
 }
 
--- a/standin/tests/soak_check.rs
+++ b/standin/tests/soak_check.rs
@@ -1,51 +1,51 @@
-//! What the soak's check of the nodes' logs finds, and what it passes over.
+//! Tests which gaps in the nodes' logs the soak's checks report, and which they excuse.
 
 use std::time::{Duration, Instant};
 
 use googletest::prelude::*;
-use standin::site::replica::{Register, Run};
-use standin::soak::check::{Asked, End, Report, Strike};
+use standin::site::replica::{History, Run};
+use standin::soak::check::{Attempt, End, Outage, Report};
 
-/// How long a request takes.
+/// Duration of a request.
 const LENGTH: Duration = Duration::from_millis(300);
 
-fn asked(end: End, at: Instant) -> Asked {
-    Asked {
+fn attempt(end: End, at: Instant) -> Attempt {
+    Attempt {
         id: "a1".into(),
         repeatable: true,
         end,
         node: 0,
         began: at.checked_sub(LENGTH).unwrap(),
-        at,
+        ended: at,
     }
 }
 
-fn broken(end: End, struck: &[Instant], at: Instant, log: &str) -> usize {
-    let strike = |hit: &Instant| Strike { node: 0, at: *hit };
-    let strikes: Vec<Strike> = struck.iter().map(strike).collect();
-    broken_at(&strikes, end, at, log)
+fn count_violations(end: End, killed_at: &[Instant], at: Instant, log: &str) -> usize {
+    let outage = |at: &Instant| Outage { node: 0, at: *at };
+    let outages: Vec<Outage> = killed_at.iter().map(outage).collect();
+    count_violations_of(&outages, end, at, log)
 }
 
-fn broken_at(strikes: &[Strike], end: End, at: Instant, log: &str) -> usize {
+fn count_violations_of(outages: &[Outage], end: End, at: Instant, log: &str) -> usize {
     let mut report = Report::default();
-    report.check_logs(&[asked(end, at)], strikes, &[log.to_owned()]);
-    report.broken.len()
+    report.check_logs(&[attempt(end, at)], outages, &[log.to_owned()]);
+    report.violations.len()
 }
 
 const GRANTED: &str = "t INFO  E521 request_granted id=a1 endpoint=e\n";
 const DONE: &str = "t INFO  E520 request_done id=a1 route=q\n";
 const AWAY: &str = "t INFO  E524 request_turned_away id=a1 path=/q/ why=not_ready\n";
 
-/// A clerk's question was answered, and a node's log lacks the line that says
-/// so. On the phone nobody could tell whether it ever came.
+/// Guards against a response without its line in the node's log: an operator could not find out
+/// whether the request was ever received.
 #[gtest]
 fn check_logs_gap() {
     let at = Instant::now();
-    expect_that!(broken(End::Whole, &[], at, GRANTED), eq(1));
-    expect_that!(broken(End::Whole, &[], at, DONE), eq(1));
-    expect_that!(broken(End::Refused, &[], at, GRANTED), eq(1));
+    expect_that!(count_violations(End::Whole, &[], at, GRANTED), eq(1));
+    expect_that!(count_violations(End::Whole, &[], at, DONE), eq(1));
+    expect_that!(count_violations(End::Refused, &[], at, GRANTED), eq(1));
     expect_that!(
-        broken(End::Refused, &[], at, &AWAY.replace("a1", "a2")),
+        count_violations(End::Refused, &[], at, &AWAY.replace("a1", "a2")),
         eq(1)
     );
 }
@@ -54,63 +54,70 @@
 fn check_logs_whole() {
     let at = Instant::now();
     let whole = format!("{GRANTED}{DONE}");
-    expect_that!(broken(End::Whole, &[], at, &whole), eq(0));
-    expect_that!(broken(End::Refused, &[], at, AWAY), eq(0));
+    expect_that!(count_violations(End::Whole, &[], at, &whole), eq(0));
+    expect_that!(count_violations(End::Refused, &[], at, AWAY), eq(0));
 }
 
-/// A node was killed right after it had answered; its last lines are lost with
-/// it, which is no fault of theirs.
+/// A node that is killed right after a response loses its last log lines. The check must excuse
+/// this, but not lines of requests that ended well before.
 #[gtest]
 fn check_logs_killed() {
     let at = Instant::now();
     let soon = at + Duration::from_millis(200);
     let later = at + Duration::from_millis(900);
-    expect_that!(broken(End::Whole, &[soon], at, ""), eq(0));
-    expect_that!(broken(End::Whole, &[later], at, ""), eq(1));
+    expect_that!(count_violations(End::Whole, &[soon], at, ""), eq(0));
+    expect_that!(count_violations(End::Whole, &[later], at, ""), eq(1));
 }
 
-/// All nodes are killed between an answer's last bytes and the line that tells of
-/// it, and the caller reads these bytes after the kill.
+/// All nodes are killed between the last bytes of a response and its log line, and the caller reads
+/// these bytes after the kill. The check must excuse the missing line.
 #[gtest]
 fn check_logs_killed_before_read() {
     let at = Instant::now();
     let before = at.checked_sub(Duration::from_millis(20)).unwrap();
-    expect_that!(broken(End::Whole, &[before], at, GRANTED), eq(0));
-    // A node that was struck before it was asked had started again since.
+    expect_that!(count_violations(End::Whole, &[before], at, GRANTED), eq(0));
+    // A node that was killed before the request had been restarted by then.
     let long_before = at.checked_sub(LENGTH * 2).unwrap();
-    expect_that!(broken(End::Whole, &[long_before], at, GRANTED), eq(1));
+    expect_that!(
+        count_violations(End::Whole, &[long_before], at, GRANTED),
+        eq(1)
+    );
 }
 
-/// Another node is killed just then. The one that answered has no excuse.
+/// Another node is killed at the same time. This does not excuse a missing line of the node that
+/// responded.
 #[gtest]
-fn check_logs_other_killed() {
+fn check_logs_other_node_killed() {
     let at = Instant::now();
-    let other = Strike { node: 1, at };
-    expect_that!(broken_at(&[other], End::Whole, at, GRANTED), eq(1));
+    let other = Outage { node: 1, at };
+    expect_that!(
+        count_violations_of(&[other], End::Whole, at, GRANTED),
+        eq(1)
+    );
 }
 
-/// A node writes a caller's key into its log, shows it to an endpoint, or passes a
-/// caller's own word for its organisation on. Whoever reads logs could speak for the
-/// organisation, and another one would be charged.
+/// Guards against a node that logs a caller's key, sends it to an endpoint, or passes on the
+/// organisation that the caller claims. With the key, anyone who reads the logs could act for the
+/// organisation; with a false claim, another organisation would be charged.
 #[gtest]
 fn check_keys_shown() {
-    let run = |organisation: &str, shows_key| Run {
+    let run = |organisation: &str, has_caller_key| Run {
         replica: "i-1".into(),
         path: "/q/1".into(),
         organisation: organisation.into(),
-        shows_key,
+        has_caller_key,
         began: Instant::now(),
         ended: None,
     };
-    let broken = |run: Run, log: &str| {
-        let register = Register::default();
-        register.borrow_mut().insert("a1".into(), vec![run]);
+    let count_violations = |run: Run, log: &str| {
+        let history = History::default();
+        history.borrow_mut().insert("a1".into(), vec![run]);
         let mut report = Report::default();
-        report.check_keys("secret", "mine", &register, &[log.to_owned()]);
-        report.broken.len()
+        report.check_keys("secret", "mine", &history, &[log.to_owned()]);
+        report.violations.len()
     };
-    expect_that!(broken(run("mine", false), "a line"), eq(0));
-    expect_that!(broken(run("mine", true), "a line"), eq(1));
-    expect_that!(broken(run("other", false), "a line"), eq(1));
-    expect_that!(broken(run("mine", false), "key=secret"), eq(1));
+    expect_that!(count_violations(run("mine", false), "a line"), eq(0));
+    expect_that!(count_violations(run("mine", true), "a line"), eq(1));
+    expect_that!(count_violations(run("other", false), "a line"), eq(1));
+    expect_that!(count_violations(run("mine", false), "key=secret"), eq(1));
 }
--- a/standin/tests/soak_short.rs
+++ b/standin/tests/soak_short.rs
@@ -1,4 +1,4 @@
-//! The fault soak in short: real processes, faults by seed, promises checked.
+//! A short fault soak: real processes, faults drawn by seed, and checks of the guarantees.
 
 use std::time::Duration;
 
@@ -15,13 +15,13 @@
         faults: true,
     };
     let report = actix_rt::System::new().block_on(fleet::play(plan)).unwrap();
-    expect_that!(report.broken, is_empty(), "{report}");
+    expect_that!(report.violations, is_empty(), "{report}");
     expect_that!(report.items, gt(0), "{report}");
 }
 
-/// Nodes are killed, paused and stopped, the store refuses and loses answers,
-/// replicas crash and leave, all at once and overlapping. No answer may be
-/// wrong, nothing may run that was called not run, no item may get lost.
+/// Nodes are killed, paused and stopped, the store refuses calls and drops responses, and replicas
+/// crash and drain, with overlaps. No response may be wrong, no request may run that was answered
+/// "not run", and no item may be lost.
 #[gtest]
 fn play_seeds() {
     for seed in [1, 2] {
--- a/standin/tests/store_client.rs
+++ b/standin/tests/store_client.rs
@@ -1,4 +1,4 @@
-//! The client of the platform's store, against the stand-in store.
+//! Tests the client of the users' store against the stand-in store.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use auburnspoke::platform::store::Client;
 use auburnspoke::table::{Feed as _, Roster as _, Table as _, Transaction, Vm};
 use googletest::prelude::*;
-use standin::site::store::{Store, Treatment};
+use standin::site::store::{Degradation, Store};
 
 fn run<F, B>(body: B)
 where
@@ -37,9 +37,9 @@
 }
 
 #[gtest]
-fn scan_later_prefix() {
-    // A caller reads the results of one small job among many. If the rows of all later jobs were
-    // read as well and discarded, each read would transfer a megabyte and delay the caller.
+fn scan_other_prefix_behind() {
+    // Guards against scans that read past their prefix: when a caller reads the results of one
+    // small job, the rows of later jobs would be read and dropped, up to a megabyte for each read.
     run(|store, client| async move {
         for job in 0..6 {
             for position in 0..3 {
@@ -70,9 +70,9 @@
 }
 
 #[gtest]
-fn list_repeated() {
-    // Every node of a large fleet lists the other nodes repeatedly. Only changed rows may be read,
-    // or a start of all nodes would read a number of rows that is quadratic in their number.
+fn list_again() {
+    // Every node of a large fleet lists the other nodes repeatedly. It must read only new rows, or
+    // the cost of starting all nodes would grow with the square of their number.
     run(|store, client| async move {
         for at in 0..50 {
             let other = registered(&client, at);
@@ -102,31 +102,31 @@
 
 #[gtest]
 fn list_row_refused() {
-    // All nodes have restarted, and the store refuses writes because it is overloaded. A node
-    // whose row is refused must still get the list of the others. With only its seeds it would
-    // own pools that other nodes own as well, and the endpoints that both assign would refuse its
-    // callers.
+    // All nodes have restarted and the store refuses writes under overload. A node whose own row is
+    // refused must still list the others. If it had only its seeds, it would run pools of its own,
+    // and endpoints would refuse the requests that these pools send to them.
     run(|store, client| async move {
         registered(&client, 1).list().await.unwrap();
-        let full = Treatment {
-            full: true,
-            ..Treatment::default()
+        let overloaded = Degradation {
+            overloaded: true,
+            ..Degradation::default()
         };
-        store.treatment.borrow_mut().insert(0, full);
+        store.degradations.borrow_mut().insert(0, overloaded);
         let me = registered(&client, 2);
         expect_that!(me.list().await.unwrap().len(), eq(1));
         let registering = Rc::clone(&me);
         let task = actix_rt::spawn(async move { registering.register_until_stored().await });
-        store.treatment.borrow_mut().clear();
-        // Returns once the row is stored.
+        store.degradations.borrow_mut().clear();
+        // It returns once the row is stored.
         task.await.unwrap();
         expect_that!(me.list().await.unwrap().len(), eq(2));
     });
 }
 
 #[gtest]
-fn transact_separate_parts() {
-    // Nodes' rows and jobs are in different parts, so that neither waits for the other.
+fn transact_parts() {
+    // The rows of nodes and of jobs are in different parts, so that their writes do not wait for
+    // each other.
     run(|store, client| async move {
         registered(&client, 1).list().await.unwrap();
         let row = Transaction::default().put("job/a", "x");
@@ -141,19 +141,19 @@
 #[gtest]
 fn snapshot_slow_pages() {
     // All nodes have restarted and read the whole table of endpoints at once, so each page takes
-    // longer than a usual answer. If a slow page counted as lost and the snapshot started over, the
-    // same bytes would cross saturated links repeatedly, and callers would get refusals for lack
-    // of endpoints for seconds.
+    // longer than usual. If a slow page counted as lost and the read started over, the same bytes
+    // would be sent repeatedly over saturated links, and callers would be refused for seconds
+    // because no endpoint is listed.
     run(|store, client| async move {
         for at in 0..1_200 {
             let value = serde_json::json!({"at": at});
             store.put("servers", &format!("i-{at:04}"), &value);
         }
-        let slow = Treatment {
-            slow: Duration::from_millis(300),
-            ..Treatment::default()
+        let slow = Degradation {
+            delay: Duration::from_millis(300),
+            ..Degradation::default()
         };
-        store.treatment.borrow_mut().insert(0, slow);
+        store.degradations.borrow_mut().insert(0, slow);
         let snapshot = client.snapshot("servers").await.unwrap();
         expect_that!(snapshot.rows.len(), eq(1_200));
         expect_that!(store.rows_read.get(), eq(1_200));
--- a/standin/tests/support/fleet.rs
+++ b/standin/tests/support/fleet.rs
@@ -1,5 +1,4 @@
-//! The batch parts of some nodes in one process, beside a store, a pool and one
-//! replica.
+//! The batch parts of several nodes in one process, with a store, a pool and one replica.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, UdpSocket};
@@ -22,7 +21,7 @@
 use auburnspoke::snapshot::Cell;
 use bytes::Bytes;
 use hyper::StatusCode;
-use standin::site::replica::{Register, Replica};
+use standin::site::replica::{History, Replica};
 use standin::site::store::Store;
 use tokio::sync::mpsc;
 use tokio::time::sleep;
@@ -32,29 +31,28 @@
 
 use support::member;
 
-/// Nodes of the fleet.
+/// Number of nodes.
 pub const NODES: usize = 8;
-/// The service and the host.
 const SERVICE: &str = "llm";
 const HOST: &str = "batch.example";
-/// The one item of the one job.
+/// Ids of the only item and the only job.
 const ITEM: &str = "item-1";
 const JOB: &str = "job-1";
-/// How often something is looked for.
+/// Interval between checks of a condition.
 const POLL: Duration = Duration::from_millis(5);
 
-/// One node's batch jobs.
+/// The batch part of one node.
 struct Node {
     jobs: Rc<Jobs>,
     phase: Arc<Cell<Phase>>,
 }
 
-/// Nodes, of which none serves yet.
+/// The nodes. They start without serving; see [`Fleet::serve`].
 pub struct Fleet {
-    /// The store; it knows each node by its place.
+    /// The store, with a listener for each node by index.
     pub store: Rc<Store>,
     nodes: Vec<Node>,
-    register: Register,
+    history: History,
     route: Arc<Route>,
     _replica: Rc<Replica>,
 }
@@ -112,12 +110,12 @@
 }
 
 impl Fleet {
-    /// Starts the parts; items may fail `attempts` times.
+    /// Starts the nodes; items may fail `attempts` times.
     pub async fn start(attempts: u32) -> Self {
         let store = Store::new();
-        let register = Register::default();
+        let history = History::default();
         let step = Duration::from_millis(5);
-        let (replica, address) = Replica::start("i-1".into(), 4, step, Rc::clone(&register))
+        let (replica, address) = Replica::start("i-1".into(), 4, step, Rc::clone(&history))
             .await
             .unwrap();
         let route = route(attempts);
@@ -139,7 +137,7 @@
             let members = vec![member(&me)];
             let view = Arc::new(Cell::new(View { members }));
             let socket = tokio::net::UdpSocket::from_std(local()).unwrap();
-            let desk = Broker::new(permit::Setup {
+            let broker = Broker::new(permit::Setup {
                 socket,
                 pool_port: port,
                 boot: at as u64,
@@ -148,15 +146,15 @@
                 view: Arc::clone(&view),
                 tolerance: Tolerance::default(),
             });
-            actix_rt::spawn(Rc::clone(&desk).run());
-            let (told, _) = mpsc::channel(1);
-            let ward = Detector::new(detector::Setup {
+            actix_rt::spawn(Rc::clone(&broker).run());
+            let (sender, _) = mpsc::channel(1);
+            let crash_detector = Detector::new(detector::Setup {
                 me: me.clone(),
                 clock,
                 store: Client::new(store.listen(at).await.unwrap()),
                 catalog: Arc::clone(&catalog),
                 view: Arc::clone(&view),
-                notes: told,
+                notes: sender,
                 count: Count::default(),
             });
             let phase = Arc::new(Cell::new(Phase::Starting));
@@ -167,8 +165,8 @@
                 store: Client::new(store.listen(at).await.unwrap()),
                 row_bytes: 65_536,
                 result_retention: Duration::from_secs(120),
-                broker: desk,
-                detector: ward,
+                broker,
+                detector: crash_detector,
                 catalog: Arc::clone(&catalog),
                 view,
                 phase: Arc::clone(&phase),
@@ -178,23 +176,23 @@
             actix_rt::spawn(Rc::clone(&jobs).run(feed));
             nodes.push(Node { jobs, phase });
         }
-        // A node takes nothing over in its first second.
+        // A node takes over no jobs in its first second.
         sleep(Duration::from_secs(1)).await;
         Self {
             store,
             nodes,
-            register,
+            history,
             route,
             _replica: replica,
         }
     }
 
-    /// Submits a job of one item at the first node, which takes it.
+    /// Submits a job of one item to the first node, which must accept it.
     pub async fn submit(&self, path: &str) {
         assert_eq!(self.try_submit(path).await, StatusCode::ACCEPTED);
     }
 
-    /// What the first node answers to a job of one item.
+    /// Submits a job of one item to the first node and returns the status of the response.
     pub async fn try_submit(&self, path: &str) -> StatusCode {
         let body = format!(
             "{{\"requests\":[{{\"id\":\"{ITEM}\",\"path\":\"{path}\",\
@@ -208,22 +206,22 @@
         answer.status()
     }
 
-    /// From now on a node runs what falls to it.
+    /// Lets a node run the jobs that it owns.
     pub fn serve(&self, at: usize) {
         self.nodes[at].phase.publish(Phase::Serving);
     }
 
-    /// A node is stopped: it hands its jobs over.
+    /// Stops a node, which hands its jobs over.
     pub fn leave(&self, at: usize) {
         self.nodes[at].phase.publish(Phase::Leaving);
     }
 
-    /// How often the item ran.
+    /// Returns the number of runs of the item.
     pub fn runs(&self) -> usize {
-        self.register.borrow().get(ITEM).map_or(0, Vec::len)
+        self.history.borrow().get(ITEM).map_or(0, Vec::len)
     }
 
-    /// Waits until the item ran so often; false when it does not within `wait`.
+    /// Waits until the item has run `runs` times. Returns false if it has not within `wait`.
     pub async fn wait_runs(&self, runs: usize, wait: Duration) -> bool {
         let until = Instant::now() + wait;
         while self.runs() < runs && Instant::now() < until {
