--- a/src/cli.rs
+++ b/src/cli.rs
@@ -28,7 +28,7 @@
 pub use job::{item, items};
 use output::Output;
 
-/// A command's name, the group it is listed under and how it is run.
+/// A command with its help group and the function that runs it.
 struct Entry {
     group: &'static str,
     command: fn() -> Command,
@@ -40,7 +40,7 @@
 const OPERATOR: &str = "Operate";
 const SHELL: &str = "Shell";
 
-/// Every command, in the order of the help.
+/// All commands, in the order in which the help lists them.
 const ENTRIES: &[Entry] = &[
     Entry::new(NODE, serve::command, serve::run),
     Entry::new(NODE, edge::command, edge::run),
@@ -73,7 +73,7 @@
     }
 }
 
-/// Runs the program and says how it should exit.
+/// Parses the arguments, runs the command and returns how the program should exit.
 pub fn main<A>(args: A) -> Exit
 where
     A: IntoIterator<Item = OsString>,
@@ -81,7 +81,7 @@
     let matches = match command().try_get_matches_from(args) {
         Ok(matches) => matches,
         Err(e) => {
-            // Nothing is left to do when the terminal is gone.
+            // If the terminal is closed, there is nowhere to report the error.
             let _ = e.print();
             return if e.use_stderr() {
                 Exit::Usage
@@ -100,7 +100,7 @@
     }
 }
 
-/// The whole command line, for parsing and for shell completion.
+/// Builds the definition of the whole command line, for parsing and for shell completion.
 pub fn command() -> Command {
     let root = Command::new("auburnspoke")
         .version(clap::crate_version!())
@@ -135,7 +135,7 @@
     (entry.run)(matches, output)
 }
 
-/// The commands by group, which clap's own list can't show.
+/// Lists the commands by group; clap's own list has no groups.
 fn groups() -> String {
     [NODE, CALLER, OPERATOR, SHELL].map(group).join("\n") + "\n"
 }
--- a/src/cli/ask.rs
+++ b/src/cli/ask.rs
@@ -1,11 +1,11 @@
-//! `ask`: asks one question and prints the answer as it arrives.
+//! `ask`: sends one question and prints the answer as it arrives.
 
 use std::path::{Path, PathBuf};
 
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use eyre::Result;
 
-use super::remote::{self, Input};
+use super::remote::{self, Invalid};
 use super::{Exit, Output, output};
 use crate::rpc::client::Client;
 use crate::rpc::v1;
@@ -69,7 +69,7 @@
     remote::options(command)
 }
 
-/// The option that names who asks.
+/// The option for the organisation on whose behalf a request is sent.
 pub(super) fn organisation() -> Arg {
     Arg::new("organisation")
         .long("organisation")
@@ -96,7 +96,7 @@
         None => String::new(),
     };
     if prompt.is_empty() && !matches.contains_id("body") {
-        return Err(Input("the question is empty; nothing was sent".into()).into());
+        return Err(Invalid("the question is empty; nothing was sent".into()).into());
     }
     Ok(v1::AskRequest {
         service: remote::text(matches, "service"),
@@ -104,7 +104,7 @@
         key: remote::text(matches, "key"),
         once: matches.get_flag("once"),
         deadline_ms: u32::try_from(remote::millis(matches, "deadline"))
-            .map_err(|_| Input("the deadline is too far away".into()))?,
+            .map_err(|_| Invalid("the deadline is too long; the limit is 4294967295 ms".into()))?,
         prompt,
         max_tokens: matches.get_one("max-tokens").copied().unwrap_or_default(),
         path: remote::text(matches, "path"),
@@ -112,14 +112,14 @@
     })
 }
 
-/// Prints each piece at once, or the whole answer as one JSON document.
+/// Prints each piece as it arrives, or the complete answer as one JSON document.
 async fn ask(client: &Client, request: &v1::AskRequest, out: Output) -> Result<Exit> {
     let mut answer = client.ask(request).await?;
-    let mut whole = String::new();
+    let mut text = String::new();
     let mut end = v1::AskResponse::default();
     while let Some(piece) = answer.next().await? {
         if out.is_json() {
-            whole.push_str(&piece.text);
+            text.push_str(&piece.text);
         } else {
             output::write(&piece.text)?;
         }
@@ -129,7 +129,7 @@
     }
     if out.is_json() {
         if end.text.is_empty() {
-            end.text = whole;
+            end.text = text;
         }
         out.print(&end, |_| String::new())?;
     } else {
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -1,4 +1,4 @@
-//! `check`: reads a settings file and says everything that is wrong in it.
+//! `check`: reads a settings file and lists every problem in it.
 
 use std::path::PathBuf;
 
@@ -6,7 +6,7 @@
 use eyre::Result;
 use serde_json::json;
 
-use super::remote::{self, Input};
+use super::remote::{self, Invalid};
 use super::{Exit, Output, output};
 use crate::platform;
 use crate::settings::{Problem, Settings};
@@ -50,9 +50,9 @@
         return Ok(Exit::Done);
     }
     let count = problems.len();
-    let things = if count == 1 { "problem" } else { "problems" };
-    Err(Input(format!(
-        "{}: {count} {things}; nothing was started",
+    let noun = if count == 1 { "problem" } else { "problems" };
+    Err(Invalid(format!(
+        "{}: {count} {noun}; nothing was started",
         path.display()
     ))
     .into())
--- a/src/cli/config.rs
+++ b/src/cli/config.rs
@@ -5,7 +5,7 @@
 use clap::{Arg, ArgMatches, Command, value_parser};
 use eyre::{Result, WrapErr};
 
-use super::remote::{self, Input};
+use super::remote::{self, Invalid};
 use super::{Exit, Output, output};
 use crate::rpc::v1;
 
@@ -87,14 +87,14 @@
     let path: &PathBuf = matches.get_one("file").expect("clap requires the file");
     let text = remote::read(path)?;
     let document = Document::parse(&text)
-        .map_err(Input)
+        .map_err(Invalid)
         .wrap_err_with(|| format!("{} can't be used, nothing was sent", path.display()))?;
     let expect_version = matches
         .get_one::<u64>("expect-version")
         .copied()
         .or(document.version)
         .ok_or_else(|| {
-            Input(
+            Invalid(
                 "the document has no version; take it from `config show`, or give --expect-version"
                     .into(),
             )
@@ -138,14 +138,14 @@
     Ok(Exit::Done)
 }
 
-/// One line on where the newest version is in force.
+/// One line that states whether the newest version is in force on every node.
 pub(super) fn summary(status: &v1::ConfigStatusResponse) -> String {
     let behind = status
         .nodes
         .iter()
         .filter(|node| node.version < status.version)
         .count();
-    let force = if status.in_force {
+    let state = if status.in_force {
         "in force on every live node".to_owned()
     } else {
         format!(
@@ -153,22 +153,22 @@
             status.nodes.len()
         )
     };
-    format!("configuration version {}: {force}", status.version)
+    format!("configuration version {}: {state}", status.version)
 }
 
-/// Prints what a change did, or would do.
+/// Prints the differences that a change made, or would make in a dry run.
 pub(super) fn print_applied(answer: &v1::ApplyConfigResponse, out: Output) -> Result<Exit> {
     out.print(answer, |answer| {
         let mut text = output::lines("", &answer.diff);
         if answer.diff.is_empty() {
             text.push_str("no difference\n");
         }
-        let verdict = if answer.dry_run {
+        let outcome = if answer.dry_run {
             "dry run, nothing changed; current version"
         } else {
             "committed as version"
         };
-        text + &format!("{verdict} {}", answer.version)
+        text + &format!("{outcome} {}", answer.version)
     })?;
     Ok(Exit::Done)
 }
--- a/src/cli/config/document.rs
+++ b/src/cli/config/document.rs
@@ -1,22 +1,23 @@
 //! The configuration as operators write it, in TOML or JSON.
 //!
-//! It has the words and defaults of the schema with short names for kinds, and
-//! every error names its line.
+//! Field names and defaults are those of the RPC schema; service kinds have short names. Every
+//! error names its line.
 
 use serde::{Deserialize, Serialize};
 
 use crate::rpc::v1;
 
-/// Share of an organisation when none is written.
-const WEIGHT: u32 = 1;
-/// Middle between throughput and latency, when none is written.
-const LATENCY_WEIGHT: u32 = 50;
+/// Weight of an organisation whose `weight` is not given.
+const DEFAULT_WEIGHT: u32 = 1;
+/// Latency weight of a service whose `latency_weight` is not given: midway between throughput and
+/// latency.
+const DEFAULT_LATENCY_WEIGHT: u32 = 50;
 
 /// A whole configuration.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct Document {
-    /// The version that it was read at.
+    /// The version of the configuration from which the document was made.
     pub(super) version: Option<u64>,
     #[serde(default)]
     services: Vec<Service>,
@@ -81,15 +82,15 @@
 }
 
 const fn latency_weight() -> u32 {
-    LATENCY_WEIGHT
+    DEFAULT_LATENCY_WEIGHT
 }
 
 const fn weight() -> u32 {
-    WEIGHT
+    DEFAULT_WEIGHT
 }
 
 impl Document {
-    /// The document of a configuration that was read.
+    /// Converts a node's response to a document.
     pub(super) fn new(answer: v1::GetConfigResponse) -> Self {
         let config = answer.config.unwrap_or_default();
         Self {
@@ -100,10 +101,10 @@
         }
     }
 
-    /// Reads JSON when the text begins with a brace, else TOML.
+    /// Parses JSON if the text begins with a brace, else TOML.
     ///
     /// # Errors
-    /// Names the line and what was expected there.
+    /// Returns a message with the line and what was expected there.
     pub(super) fn parse(text: &str) -> Result<Self, String> {
         if text.trim_start().starts_with('{') {
             serde_json::from_str(text).map_err(|e| e.to_string())
--- a/src/cli/drain.rs
+++ b/src/cli/drain.rs
@@ -1,4 +1,4 @@
-//! `drain`: makes a node leave as SIGTERM would.
+//! `drain`: shuts a node down gracefully, as SIGTERM does.
 
 use clap::{Arg, ArgMatches, Command};
 use eyre::Result;
--- a/src/cli/edge.rs
+++ b/src/cli/edge.rs
@@ -1,4 +1,4 @@
-//! `edge`: runs a node whose platform writes its settings.
+//! `edge`: runs a node whose settings file is written by the platform.
 
 use std::path::PathBuf;
 
--- a/src/cli/endpoint.rs
+++ b/src/cli/endpoint.rs
@@ -127,7 +127,7 @@
     print_applied(&answer, out)
 }
 
-/// The endpoints as a table.
+/// Formats the endpoints as a table.
 pub(super) fn text(endpoints: &[v1::EndpointStatus]) -> String {
     let rows: Vec<_> = endpoints.iter().map(row).collect();
     output::table(
--- a/src/cli/exit.rs
+++ b/src/cli/exit.rs
@@ -1,27 +1,27 @@
-//! How the program exits. docs/CLI.md lists the codes for scripts.
+//! The program's exit codes. docs/CLI.md lists them for scripts.
 
 use std::process::ExitCode;
 
 use eyre::Report;
 
-use super::remote::Input;
+use super::remote::Invalid;
 use crate::rpc::client;
 use crate::settings;
 
 /// The program's exit codes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
-    /// It did what it was asked.
+    /// The command succeeded.
     Done,
-    /// Something else than the following failed.
+    /// The command failed for a reason that no other code covers.
     Failed,
-    /// The command line is wrong.
+    /// The command line is invalid.
     Usage,
-    /// A file, or what was typed, is wrong; nothing was sent.
+    /// A file or an argument is invalid; nothing was sent.
     Input,
-    /// The system refused, and nothing has run or changed.
+    /// The request was refused, and nothing has run or changed.
     NotRun,
-    /// The answer is missing or broke off: it may have run.
+    /// The response is missing or incomplete, so that the request may have run.
     MayHaveRun,
     /// No node could be reached; nothing was sent.
     Unreachable,
@@ -30,7 +30,7 @@
 }
 
 impl Exit {
-    /// The number that the shell sees.
+    /// Returns the process's exit status.
     pub const fn code(self) -> u8 {
         match self {
             Self::Done => 0,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The code for a failure, from the first cause that is known.
+    /// Returns the code for an error, by the type of its cause.
     pub fn of(report: &Report) -> Self {
         if let Some(error) = report.downcast_ref::<client::Error>() {
             return match error {
@@ -53,9 +53,13 @@
                 client::Error::Unreachable { .. } => Self::Unreachable,
             };
         }
-        let input = report.downcast_ref::<Input>().is_some()
+        let is_invalid = report.downcast_ref::<Invalid>().is_some()
             || report.downcast_ref::<settings::Invalid>().is_some();
-        if input { Self::Input } else { Self::Failed }
+        if is_invalid {
+            Self::Input
+        } else {
+            Self::Failed
+        }
     }
 }
 
--- a/src/cli/job.rs
+++ b/src/cli/job.rs
@@ -116,7 +116,7 @@
     Ok(Exit::Done)
 }
 
-/// How a program that looks at a job's status should exit.
+/// Returns the exit code for a job's status.
 fn exit(status: &v1::JobStatusResponse) -> Exit {
     match status.state() {
         v1::JobState::Cancelled => Exit::Incomplete,
--- a/src/cli/job/item.rs
+++ b/src/cli/job/item.rs
@@ -1,4 +1,4 @@
-//! Items of a job as JSON lines: `{"key": "k", "prompt": "p", "max_tokens": 9}`.
+//! Parses the items of a job from JSON lines: `{"key": "k", "prompt": "p", "max_tokens": 9}`.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -7,15 +7,15 @@
 
 use crate::rpc::v1;
 
-/// Most errors that are named; a file in another format would have one a line.
+/// Maximum number of errors listed; a file in another format has one on every line.
 const MAX_ERRORS: usize = 20;
 
-/// What is wrong with the items.
+/// Why a file of items is refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Error {
-    /// There is no item at all.
+    /// The file has no items.
     Empty,
-    /// Lines that are wrong, each with its number from 1.
+    /// The invalid lines, as line number (from 1) and message.
     Lines(Vec<(usize, String)>),
 }
 
@@ -50,15 +50,15 @@
     max_tokens: u32,
 }
 
-/// Reads every line that is not blank.
+/// Parses every line that is not blank.
 ///
 /// # Errors
-/// [`Error`] names every wrong line, so that one pass is enough to mend a file.
-/// A job with one wrong item is refused whole: an item that was left out in
-/// silence would be missed only when its result is.
+/// Lists all invalid lines at once, so that a file can be corrected in one pass. One invalid item
+/// refuses the whole job: an item that was silently skipped would be noticed only when its result
+/// is missing.
 pub fn read(text: &str) -> Result<Vec<v1::Item>, Error> {
     let mut items = Vec::new();
-    let mut faults = Vec::new();
+    let mut errors = Vec::new();
     let mut keys: HashMap<String, usize> = HashMap::new();
     for (at, line) in text.lines().enumerate() {
         let number = at + 1;
@@ -66,20 +66,20 @@
             continue;
         }
         match parse(line) {
-            Err(message) => faults.push((number, message)),
+            Err(message) => errors.push((number, message)),
             Ok(item) => {
-                if let Some(first) = known(&mut keys, &item.key, number) {
-                    faults.push((
+                if let Some(first) = find_duplicate(&mut keys, &item.key, number) {
+                    errors.push((
                         number,
-                        format!("key `{}` is that of line {first}", item.key),
+                        format!("key `{}` is already used on line {first}", item.key),
                     ));
                 }
                 items.push(item);
             }
         }
     }
-    if !faults.is_empty() {
-        return Err(Error::Lines(faults));
+    if !errors.is_empty() {
+        return Err(Error::Lines(errors));
     }
     if items.is_empty() {
         return Err(Error::Empty);
@@ -87,8 +87,8 @@
     Ok(items)
 }
 
-/// The line that has used this key before.
-fn known(keys: &mut HashMap<String, usize>, key: &str, number: usize) -> Option<usize> {
+/// Records the key, and returns the earlier line that uses it, if any.
+fn find_duplicate(keys: &mut HashMap<String, usize>, key: &str, number: usize) -> Option<usize> {
     if key.is_empty() {
         return None;
     }
@@ -99,9 +99,9 @@
 
 fn parse(line: &str) -> Result<v1::Item, String> {
     let line: Line = serde_json::from_str(line).map_err(|e| {
-        // The reader sees one line at a time and calls each of them line 1.
+        // Each line is parsed on its own, so serde_json reports every position as line 1.
         let cause = e.to_string().replace("at line 1 column", "at column");
-        format!("is no item: {cause}; write {{\"prompt\": \"...\"}}")
+        format!("is not an item: {cause}; write {{\"prompt\": \"...\"}}")
     })?;
     if line.prompt.is_empty() {
         return Err("the prompt is empty".to_owned());
--- a/src/cli/job/result.rs
+++ b/src/cli/job/result.rs
@@ -7,8 +7,8 @@
 use crate::cli::{Exit, Output, output, remote};
 use crate::rpc::v1;
 
-/// Results a page.
-const PAGE: u32 = 1_000;
+/// Results requested per page.
+const PAGE_RESULTS: u32 = 1_000;
 
 pub(super) fn command() -> Command {
     let command = Command::new("results")
@@ -23,14 +23,14 @@
     remote::options(command)
 }
 
-/// Results go to the standard output; what is still missing is said on the
-/// standard error stream, where it can't be taken for a result.
+/// Prints results to standard output. The notice that the job is still running goes to standard
+/// error, so that a program that reads the output can't take it for a result.
 pub(super) fn run(matches: &ArgMatches, _output: Output) -> Result<Exit> {
     let mut request = v1::JobResultsRequest {
         job: remote::text(matches, "job"),
         page: String::new(),
         item: remote::text(matches, "item"),
-        limit: PAGE,
+        limit: PAGE_RESULTS,
     };
     let client = remote::client(matches);
     let state = remote::block_on(async {
--- a/src/cli/job/submit.rs
+++ b/src/cli/job/submit.rs
@@ -1,4 +1,4 @@
-//! `job submit`: sends the items of a file as one job.
+//! `job submit`: submits the items of a file as one job.
 
 use std::fmt::Write as _;
 use std::path::PathBuf;
@@ -8,16 +8,16 @@
 use sha2::{Digest, Sha256};
 
 use super::{exit, item, status_text, wait};
-use crate::cli::remote::{self, Input};
+use crate::cli::remote::{self, Invalid};
 use crate::cli::{Exit, Output, ask, output};
 use crate::rpc::client::{Client, Error};
 use crate::rpc::v1;
 use crate::settings;
 
-/// Bytes of the digest that a key is made of.
+/// Bytes of the content's digest that are used as the idempotency key.
 const KEY_BYTES: usize = 16;
-/// How often a submission whose answer was lost is sent again.
-const RESENDS: u32 = 3;
+/// Maximum number of retries of a submission whose response was lost.
+const MAX_RETRIES: u32 = 3;
 
 pub(super) fn command() -> Command {
     let command = Command::new("submit")
@@ -62,7 +62,7 @@
     let path: &PathBuf = matches.get_one("items").expect("clap has a default");
     let text = remote::read(path)?;
     let items = item::read(&text)
-        .map_err(|e| Input(e.to_string()))
+        .map_err(|e| Invalid(e.to_string()))
         .wrap_err_with(|| format!("{} can't be used, nothing was sent", path.display()))?;
     let request = request(matches, items);
     let client = remote::client(matches);
@@ -96,37 +96,37 @@
     request
 }
 
-/// A key made of the content.
+/// Derives an idempotency key from the content of the request.
 ///
-/// Without one, a user who repeats a command whose answer was lost would get a
-/// second job and every result twice.
+/// Without a key, a user who repeats a command after its response was lost would start a second
+/// job and get every result twice.
 fn key(request: &v1::SubmitJobRequest) -> String {
     let digest = Sha256::digest(prost::Message::encode_to_vec(request));
     let mut key = String::from("content-");
     for byte in &digest[..KEY_BYTES] {
-        // Writing into a string can't fail.
+        // Writing to a string can't fail.
         let _ = write!(key, "{byte:02x}");
     }
     key
 }
 
-/// Sends the job, and again when the answer was lost: the key makes it the
-/// same job however often it arrives.
+/// Submits the job, and retries when the response was lost. The idempotency key ensures that it is
+/// accepted only once.
 async fn submit(client: &Client, request: &v1::SubmitJobRequest) -> Result<v1::SubmitJobResponse> {
-    let mut resends = 0;
+    let mut retries = 0;
     loop {
         match client.call(request).await {
-            Err(Error::Lost(_)) if resends < RESENDS => resends += 1,
-            answer => return answer.map_err(|e| advise(e, &request.key)),
+            Err(Error::Lost(_)) if retries < MAX_RETRIES => retries += 1,
+            answer => return answer.map_err(|e| with_retry_advice(e, &request.key)),
         }
     }
 }
 
-/// Tells how to go on when it is open whether the job was accepted.
-fn advise(error: Error, key: &str) -> eyre::Report {
-    let open = matches!(&error, Error::Lost(_));
+/// Adds how to retry safely to an error that leaves open whether the job was accepted.
+fn with_retry_advice(error: Error, key: &str) -> eyre::Report {
+    let is_lost = matches!(&error, Error::Lost(_));
     let report = eyre::Report::new(error);
-    if open {
+    if is_lost {
         report.wrap_err(format!(
             "send the same command again, with --key {key}: it stays one job"
         ))
--- a/src/cli/job/wait.rs
+++ b/src/cli/job/wait.rs
@@ -1,4 +1,4 @@
-//! Waits until a job has ended, with a progress bar on a terminal.
+//! Polls a job until it has ended, and shows a progress bar on a terminal.
 
 use std::time::Duration;
 
@@ -9,12 +9,12 @@
 use crate::rpc::client::{Client, Error};
 use crate::rpc::v1;
 
-/// First pause between two looks; each is half as long again as the one before.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-/// Longest pause between two looks, so that a long job costs few reads.
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
-/// Looks in a row that may fail, as during an outage or a restart, before the
-/// wait is given up: some five minutes.
+/// Initial poll interval; each interval is 1.5 times the one before.
+const INITIAL_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Upper bound of the poll interval, so that a long job costs few reads.
+const MAX_POLL_INTERVAL: Duration = Duration::from_secs(2);
+/// Consecutive failed polls, as during an outage or a restart, after which waiting ends with an
+/// error: about five minutes.
 const MAX_FAILURES: u32 = 150;
 
 pub(super) fn option() -> Arg {
@@ -24,15 +24,15 @@
         .help("Wait until the job has ended; a progress bar shows on a terminal")
 }
 
-/// Looks again and again until the job has ended or was cancelled.
+/// Polls the job until it has ended or was cancelled, and returns its last status.
 pub(in crate::cli) async fn until_ended(
     client: &Client,
     job: &str,
 ) -> Result<v1::JobStatusResponse> {
-    // Draws nothing when the standard error stream is no terminal.
+    // Draws nothing if standard error is not a terminal.
     let bar = ProgressBar::new(0).with_style(style());
     let mut failures = 0;
-    let mut pause = FIRST_PAUSE;
+    let mut interval = INITIAL_POLL_INTERVAL;
     loop {
         match client.call(&v1::JobStatusRequest { job: job.into() }).await {
             Ok(status) => {
@@ -44,16 +44,17 @@
                     return Ok(status);
                 }
             }
-            Err(e) if failures < MAX_FAILURES && is_passing(&e) => failures += 1,
+            Err(e) if failures < MAX_FAILURES && is_transient(&e) => failures += 1,
             Err(e) => return Err(e.into()),
         }
-        actix_rt::time::sleep(pause).await;
-        pause = (pause * 3 / 2).min(LONGEST_PAUSE);
+        actix_rt::time::sleep(interval).await;
+        interval = (interval * 3 / 2).min(MAX_POLL_INTERVAL);
     }
 }
 
-/// A look may be repeated; it ends the wait only when looking again can't help.
-const fn is_passing(error: &Error) -> bool {
+/// Returns whether the next poll can succeed. A status query may be repeated after any other error
+/// than a refusal without a retry delay.
+const fn is_transient(error: &Error) -> bool {
     match error {
         Error::Refused(refusal) => refusal.retry_after_ms.is_some(),
         Error::Unreachable { .. } | Error::Lost(_) => true,
--- a/src/cli/locate.rs
+++ b/src/cli/locate.rs
@@ -1,4 +1,4 @@
-//! `locate`: asks which addresses to use.
+//! `locate`: prints the addresses that a caller should use.
 
 use clap::{Arg, ArgMatches, Command, value_parser};
 use eyre::Result;
--- a/src/cli/member.rs
+++ b/src/cli/member.rs
@@ -17,7 +17,7 @@
     Ok(Exit::Done)
 }
 
-/// The nodes as a table.
+/// Formats the nodes as a table.
 pub(super) fn text(members: &[v1::Member]) -> String {
     let rows: Vec<_> = members
         .iter()
--- a/src/cli/output.rs
+++ b/src/cli/output.rs
@@ -1,4 +1,4 @@
-//! What the commands print: lines for people, or JSON for programs.
+//! Output of the commands: text for people, or JSON for programs.
 
 use std::io::{self, Write};
 
@@ -8,7 +8,7 @@
 
 use crate::rpc::client;
 
-/// The form of the output.
+/// The output format.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Output {
     json: bool,
@@ -23,7 +23,7 @@
         self.json
     }
 
-    /// Prints `value` as JSON, or what `text` makes of it.
+    /// Prints `value` as JSON, or the text that `text` makes of it.
     pub(super) fn print<T, F>(self, value: &T, text: F) -> Result<()>
     where
         T: Serialize,
@@ -37,7 +37,7 @@
         write_line(line.trim_end())
     }
 
-    /// Prints an error to the standard error stream.
+    /// Prints an error to standard error.
     pub(super) fn error(self, report: &Report) {
         let text = if self.json {
             let refusal = match report.downcast_ref::<client::Error>() {
@@ -48,20 +48,19 @@
         } else {
             format!("auburnspoke: {report:#}")
         };
-        // Nothing is left to do when the terminal is gone.
+        // If the terminal is closed, there is nowhere to report the error.
         let _ = writeln!(io::stderr(), "{text}");
     }
 }
 
-/// Writes a line to the standard output.
+/// Writes a line to standard output.
 ///
-/// A reader that has seen enough, such as `head`, closes the pipe; that is no
-/// failure of ours.
+/// A reader such as `head` may close the pipe early; that is not an error.
 pub(super) fn write_line(line: &str) -> Result<()> {
     write(&format!("{line}\n"))
 }
 
-/// Writes and flushes text as it is, so that a streamed answer is seen at once.
+/// Writes and flushes text unchanged, so that a streamed answer shows without delay.
 pub(super) fn write(text: &str) -> Result<()> {
     let mut out = io::stdout().lock();
     match out.write_all(text.as_bytes()).and_then(|()| out.flush()) {
@@ -70,9 +69,9 @@
     }
 }
 
-/// Lays out rows under their headings, each column as wide as it needs.
-pub(super) fn table<const N: usize>(head: [&str; N], rows: &[[String; N]]) -> String {
-    let mut widths = head.map(str::len);
+/// Formats rows under their headings, each column as wide as its longest cell.
+pub(super) fn table<const N: usize>(headings: [&str; N], rows: &[[String; N]]) -> String {
+    let mut widths = headings.map(str::len);
     for row in rows {
         for (width, cell) in widths.iter_mut().zip(row) {
             *width = (*width).max(cell.chars().count());
@@ -85,14 +84,14 @@
             .map(|(cell, width)| format!("{cell:<width$}"));
         padded.collect::<Vec<_>>().join("  ").trim_end().to_owned() + "\n"
     };
-    let mut text = line(head);
+    let mut text = line(headings);
     for row in rows {
         text.push_str(&line(row.each_ref().map(String::as_str)));
     }
     text
 }
 
-/// Text of one line each, indented.
+/// Joins lines, each indented by `indent`.
 pub(super) fn lines(indent: &str, lines: &[String]) -> String {
     lines
         .iter()
--- a/src/cli/remote.rs
+++ b/src/cli/remote.rs
@@ -1,4 +1,4 @@
-//! What the commands that talk to a node share.
+//! Options, input and the client that the commands which call a node have in common.
 
 use std::fmt;
 use std::future::Future;
@@ -12,26 +12,26 @@
 use crate::rpc::client::{Client, Timeouts};
 use crate::settings;
 
-/// The node that is asked when neither option nor environment names one.
-const SERVER: &str = "127.0.0.1:7001";
-/// Longest wait for a connection.
-const CONNECT: Duration = Duration::from_secs(3);
-/// Names of the author of a change, in the environment.
-const AUTHOR: [&str; 2] = ["AUBURNSPOKE_AUTHOR", "USER"];
+/// The node that is called when neither option nor environment names one.
+const DEFAULT_SERVER: &str = "127.0.0.1:7001";
+/// Time-out of opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
+/// Environment variables that name the author of a change, in order of precedence.
+const AUTHOR_VARIABLES: [&str; 2] = ["AUBURNSPOKE_AUTHOR", "USER"];
 
-/// What a user gave us is wrong, and nothing was sent.
+/// The user's input is invalid, and nothing was sent.
 #[derive(Clone, Debug)]
-pub(super) struct Input(pub(super) String);
+pub(super) struct Invalid(pub(super) String);
 
-impl fmt::Display for Input {
+impl fmt::Display for Invalid {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl std::error::Error for Input {}
+impl std::error::Error for Invalid {}
 
-/// Adds the options that name a node.
+/// Adds the options that select a node.
 pub(super) fn options(command: Command) -> Command {
     command
         .arg(
@@ -39,7 +39,7 @@
                 .long("server")
                 .value_name("IP:PORT")
                 .env("AUBURNSPOKE_SERVER")
-                .default_value(SERVER)
+                .default_value(DEFAULT_SERVER)
                 .value_delimiter(',')
                 .value_parser(address)
                 .help(
@@ -56,7 +56,7 @@
         )
 }
 
-/// Adds the options that go into the history of the configuration.
+/// Adds the options that are recorded in the history of the configuration.
 pub(super) fn change_options(command: Command) -> Command {
     command
         .arg(
@@ -73,30 +73,30 @@
         )
 }
 
-/// The author of a change.
+/// Returns the author of a change.
 pub(super) fn author(matches: &ArgMatches) -> Result<String> {
     if let Some(author) = matches.get_one::<String>("author") {
         return Ok(author.clone());
     }
-    AUTHOR
+    AUTHOR_VARIABLES
         .iter()
         .find_map(|name| std::env::var(name).ok().filter(|value| !value.is_empty()))
-        .ok_or_else(|| Input("nobody is named as the author; give --author NAME".into()).into())
+        .ok_or_else(|| Invalid("no author is given; use --author NAME".into()).into())
 }
 
-/// The text of a string option; empty when it was not given.
+/// Returns a string option, empty if it was not given.
 pub(super) fn text(matches: &ArgMatches, name: &str) -> String {
     matches.get_one::<String>(name).cloned().unwrap_or_default()
 }
 
-/// The time of a duration option in milliseconds; 0 when it was not given.
+/// Returns a duration option in milliseconds, 0 if it was not given.
 pub(super) fn millis(matches: &ArgMatches, name: &str) -> u64 {
     matches.get_one::<Duration>(name).map_or(0, |wait| {
         u64::try_from(wait.as_millis()).unwrap_or(u64::MAX)
     })
 }
 
-/// A client for the node that the options name.
+/// Creates a client for the nodes that the options name.
 pub(super) fn client(matches: &ArgMatches) -> Client {
     let servers = matches
         .get_many::<SocketAddr>("server")
@@ -105,17 +105,17 @@
     let answer = matches
         .get_one::<Duration>("timeout")
         .copied()
-        .unwrap_or(CONNECT);
+        .unwrap_or(CONNECT_TIMEOUT);
     Client::new(
         servers,
         Timeouts {
-            connect: CONNECT.min(answer),
+            connect: CONNECT_TIMEOUT.min(answer),
             answer,
         },
     )
 }
 
-/// Runs a command's conversation on a runtime of its own.
+/// Runs a command's calls on a runtime of their own.
 pub(super) fn block_on<F, T>(future: F) -> T
 where
     F: Future<Output = T>,
@@ -123,23 +123,23 @@
     actix_rt::System::new().block_on(future)
 }
 
-/// Reads a file, or the standard input when the path is `-`.
+/// Reads a file, or standard input if the path is `-`.
 pub(super) fn read(path: &Path) -> Result<String> {
     if path == Path::new("-") {
         return std::io::read_to_string(std::io::stdin())
-            .map_err(|e| Input(format!("can't read the standard input: {e}")).into());
+            .map_err(|e| Invalid(format!("can't read the standard input: {e}")).into());
     }
     std::fs::read_to_string(path)
-        .map_err(|e| Input(e.to_string()))
+        .map_err(|e| Invalid(e.to_string()))
         .wrap_err_with(|| format!("can't read {}", path.display()))
 }
 
 fn address(text: &str) -> Result<SocketAddr, String> {
     text.parse()
-        .map_err(|_| format!("`{text}` is no address; write ip:port, as in {SERVER}"))
+        .map_err(|_| format!("`{text}` is not an address; write ip:port, as in {DEFAULT_SERVER}"))
 }
 
-/// The option that makes a change of the configuration only a trial.
+/// The option that validates and compares a change without committing it.
 pub(super) fn dry_run(help: &'static str) -> Arg {
     Arg::new("dry-run")
         .long("dry-run")
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -1,4 +1,4 @@
-//! `serve`: runs a node until it is told to stop.
+//! `serve`: runs a node until SIGTERM or Ctrl-C.
 
 use std::path::PathBuf;
 
--- a/src/cli/service.rs
+++ b/src/cli/service.rs
@@ -4,7 +4,7 @@
 use eyre::Result;
 
 use super::config::print_applied;
-use super::remote::{self, Input};
+use super::remote::{self, Invalid};
 use super::{Exit, Output, output};
 use crate::rpc::v1;
 use crate::settings;
@@ -115,7 +115,7 @@
             .map(|adapters| adapters.cloned().collect())
             .unwrap_or_default(),
         deadline_ms: u32::try_from(remote::millis(matches, "deadline"))
-            .map_err(|_| Input("the deadline is too far away".into()))?,
+            .map_err(|_| Invalid("the deadline is too long; the limit is 4294967295 ms".into()))?,
         max_tokens: number("max-tokens"),
         replicas: number("replicas"),
         latency_weight: number("latency-weight"),
@@ -131,7 +131,7 @@
     print_applied(&answer, out)
 }
 
-/// The services as a table.
+/// Formats the services as a table.
 pub(super) fn text(services: &[v1::Service]) -> String {
     let rows: Vec<_> = services.iter().map(row).collect();
     output::table(
--- a/src/cli/status.rs
+++ b/src/cli/status.rs
@@ -1,4 +1,4 @@
-//! `status`: the state of the fleet on one page.
+//! `status`: prints the nodes, the endpoints and the state of the configuration.
 
 use clap::{ArgMatches, Command};
 use eyre::Result;
--- a/src/cli/trace.rs
+++ b/src/cli/trace.rs
@@ -1,5 +1,5 @@
-//! `trace`: gathers what several nodes' logs say of one request, job or item,
-//! in order of time, and says in words how it ended.
+//! `trace`: collects the lines about one request, job or item from several nodes' logs, in order
+//! of time, and describes how it ended.
 
 use std::collections::BTreeSet;
 use std::path::PathBuf;
@@ -30,22 +30,22 @@
         )
 }
 
-/// A line of a log.
+/// A log line.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Line {
-    /// When, as the node's clock said; nodes' clocks may differ.
+    /// Its time by the node's clock; the clocks of nodes may differ.
     pub time: String,
-    /// Which file it stands in.
+    /// The log file that contains it.
     pub file: String,
-    /// The line.
+    /// The complete line.
     pub text: String,
 }
 
-/// The lines that mention `id`, and those of the jobs that its lines name, in
-/// order of time.
+/// Returns the lines that mention `id`, and those of the jobs that these lines name, in order of
+/// time.
 pub fn gather(id: &str, files: &[(String, String)]) -> Vec<Line> {
     let mut wanted = BTreeSet::from([id.to_owned()]);
-    // The line of an item names its job, whose lines tell of its owners.
+    // The line of an item names its job, whose lines show which nodes owned it.
     for (_, text) in files {
         for line in text.lines().filter(|line| mentions(line, id)) {
             wanted.extend(field(line, "job").map(ToOwned::to_owned));
@@ -54,11 +54,11 @@
     let mut lines = Vec::new();
     for (file, text) in files {
         for line in text.lines() {
-            let own = mentions(line, id);
-            // Lines of the job's other items tell nothing of this one.
-            let about = field(line, "id").or_else(|| field(line, "job"));
-            let of_job = about.is_some_and(|about| wanted.contains(about));
-            if own || of_job {
+            let is_direct = mentions(line, id);
+            // Lines about other items of the same job are left out.
+            let subject = field(line, "id").or_else(|| field(line, "job"));
+            let is_of_job = subject.is_some_and(|subject| wanted.contains(subject));
+            if is_direct || is_of_job {
                 lines.push(Line {
                     time: line.split(' ').next().unwrap_or_default().to_owned(),
                     file: file.clone(),
@@ -67,7 +67,7 @@
             }
         }
     }
-    // Lines of the same millisecond keep the order in which they were written.
+    // The sort is stable: lines of the same millisecond keep the order in which they were written.
     lines.sort_by(|a, b| a.time.cmp(&b.time));
     lines
 }
@@ -76,7 +76,7 @@
     field(line, "id") == Some(id) || field(line, "job") == Some(id)
 }
 
-/// The value of a key=value field.
+/// Returns the value of a `key=value` field.
 fn field<'a>(line: &'a str, key: &str) -> Option<&'a str> {
     line.split(' ')
         .filter_map(|word| word.split_once('='))
@@ -84,7 +84,7 @@
         .map(|(_, value)| value)
 }
 
-/// How it ended, in words.
+/// Describes in a sentence how the request, job or item ended.
 pub fn verdict(lines: &[Line]) -> String {
     let last = |event: &str| {
         let found = lines.iter().rev().find(|line| line.text.contains(event));
--- a/src/cli/try_out.rs
+++ b/src/cli/try_out.rs
@@ -1,8 +1,7 @@
-//! `try`: a whole system in one process, for a first look.
+//! `try`: runs a whole system in one process, as a demonstration.
 //!
-//! The platform and the engine are stand-ins in memory on loopback; the node
-//! between them is the one that `serve` runs, and the question and the job
-//! take the way that a caller's would.
+//! The platform and the engines are stand-ins in memory, on loopback. The node between them is the
+//! one that `serve` runs, and the question and the job reach it through the same API as a caller's.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -21,22 +20,21 @@
 
 mod standin;
 
-/// The service that the question and the job go to.
+/// The service to which the question and the job are sent.
 const SERVICE: &str = "recipes";
-/// Who asks.
+/// The organisation on whose behalf they are sent.
 const ORGANISATION: &str = "kitchen";
-/// The question.
 const QUESTION: &str = "Which spread can replace peanut butter for a school with a nut allergy?";
-/// Items of the job.
+/// Number of items of the job.
 const ITEMS: u32 = 40;
-/// Tokens of an answer.
-const TOKENS: u32 = 24;
-/// Longest wait until the node is ready, and for the end of the job.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// Pause between two looks.
-const PAUSE: Duration = Duration::from_millis(50);
-/// Longest time that the stop may take.
-const LEAVE: Duration = Duration::from_secs(5);
+/// Length of an answer in tokens.
+const ANSWER_TOKENS: u32 = 24;
+/// Time-out of the node's start-up and of each call.
+const TIMEOUT: Duration = Duration::from_secs(60);
+/// Interval between readiness checks.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Time-out of the node's graceful shutdown.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
 
 pub(super) fn command() -> Command {
     Command::new("try")
@@ -64,38 +62,38 @@
         level: log::LevelFilter::Warn,
         ..settings::Log::default()
     });
-    actix_rt::System::new().block_on(show(listen, once, out))
+    actix_rt::System::new().block_on(run_system(listen, once, out))
 }
 
-async fn show(listen: SocketAddr, once: bool, out: Output) -> Result<Exit> {
-    // Taken before anything is printed: a Ctrl-C that came between would end
-    // the process with its node in the middle of its work.
+async fn run_system(listen: SocketAddr, once: bool, out: Output) -> Result<Exit> {
+    // Registered before anything is printed: otherwise an early Ctrl-C would end the process
+    // without shutting the node down.
     let mut interrupt = signal(SignalKind::interrupt()).wrap_err("can't wait for Ctrl-C")?;
     let standins = standin::start()?;
     let running = node::start(&settings(listen, standins.platform))?;
     let callers = running.callers;
-    let tour = tour(callers, &standins, once, out);
-    let shown = tokio::select! {
-        shown = tour => shown,
+    let demonstration = demonstrate(callers, &standins, once, out);
+    let result = tokio::select! {
+        result = demonstration => result,
         _ = interrupt.recv() => Ok(()),
     };
-    let hurry = async move {
+    let next_interrupt = async move {
         interrupt.recv().await;
     };
-    running.stop(LEAVE, hurry).await;
-    shown.map(|()| Exit::Done)
+    running.stop(SHUTDOWN_TIMEOUT, next_interrupt).await;
+    result.map(|()| Exit::Done)
 }
 
-/// Asks and submits, then serves on unless it is asked to end.
-async fn tour(
+/// Sends a question and a job, then keeps serving unless `once` is set.
+async fn demonstrate(
     node: SocketAddr,
     standins: &standin::Standins,
     once: bool,
     out: Output,
 ) -> Result<()> {
     let timeouts = Timeouts {
-        connect: PATIENCE,
-        answer: PATIENCE,
+        connect: TIMEOUT,
+        answer: TIMEOUT,
     };
     let client = Client::new(vec![node], timeouts);
     out.print(&json!({ "serving": node }), |_| {
@@ -108,7 +106,7 @@
         return Ok(());
     }
     if !out.is_json() {
-        output::write_line(&goodbye(node))?;
+        output::write_line(&next_steps(node))?;
     }
     std::future::pending().await
 }
@@ -130,7 +128,7 @@
     )
 }
 
-/// Commits a configuration and waits until the node has it in force.
+/// Commits a configuration and waits until the node applies it.
 async fn configure(client: &Client, node: SocketAddr, standins: &standin::Standins) -> Result<()> {
     let request = v1::ApplyConfigRequest {
         expect_version: 0,
@@ -142,16 +140,16 @@
     client.call(&request).await?;
     let started = Instant::now();
     while !is_ready(node).await {
-        if started.elapsed() > PATIENCE {
-            bail!("the node is not ready after {} s", PATIENCE.as_secs());
+        if started.elapsed() > TIMEOUT {
+            bail!("the node is not ready after {} s", TIMEOUT.as_secs());
         }
-        actix_rt::time::sleep(PAUSE).await;
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
     Ok(())
 }
 
 async fn is_ready(node: SocketAddr) -> bool {
-    let answer = http::client(PATIENCE)
+    let answer = http::client(TIMEOUT)
         .get(format!("http://{node}/readyz"))
         .send()
         .await;
@@ -163,7 +161,7 @@
         service: SERVICE.into(),
         organisation: ORGANISATION.into(),
         prompt: QUESTION.into(),
-        max_tokens: TOKENS,
+        max_tokens: ANSWER_TOKENS,
         ..v1::AskRequest::default()
     };
     if !out.is_json() {
@@ -202,13 +200,13 @@
 async fn batch(client: &Client, out: Output) -> Result<()> {
     let started = Instant::now();
     let accepted = client.call(&job_request()).await?;
-    let accepting = started.elapsed();
+    let accepted_after = started.elapsed();
     if !out.is_json() {
         output::write_line(&format!(
             "\njob:      {} accepted with {} items after {:.1} ms",
             accepted.job,
             accepted.items,
-            millis(accepting)
+            millis(accepted_after)
         ))?;
     }
     let status = job::until_ended(client, &accepted.job).await?;
@@ -231,7 +229,7 @@
     }
     let document = json!({
         "job": accepted.job, "items": accepted.items, "done": status.done,
-        "results": results.len(), "accepted_ms": millis(accepting), "total_ms": millis(whole),
+        "results": results.len(), "accepted_ms": millis(accepted_after), "total_ms": millis(whole),
     });
     out.print(&document, |_| {
         format!(
@@ -248,7 +246,7 @@
     let item = |number: u32| v1::Item {
         key: format!("recipe-{number}"),
         prompt: format!("Rescale recipe {number} from 20 to 350 portions."),
-        max_tokens: TOKENS,
+        max_tokens: ANSWER_TOKENS,
     };
     v1::SubmitJobRequest {
         service: SERVICE.into(),
@@ -263,7 +261,7 @@
     (took.as_secs_f64() * 10_000.0).round() / 10.0
 }
 
-fn goodbye(node: SocketAddr) -> String {
+fn next_steps(node: SocketAddr) -> String {
     format!(
         "\nStill serving; stop it with Ctrl-C. In another terminal:\n\n  \
          export AUBURNSPOKE_SERVER={node}\n  \
--- a/src/cli/try_out/standin.rs
+++ b/src/cli/try_out/standin.rs
@@ -1,5 +1,5 @@
-//! The stand-ins that `try` embeds: a platform in memory and two engines, each
-//! on a thread of its own.
+//! The stand-ins that `try` embeds: an in-memory platform and two engines, each on a thread of its
+//! own.
 
 use std::net::{SocketAddr, TcpListener};
 
@@ -12,16 +12,16 @@
 use crate::rpc::v1;
 use crate::table::memory::Platform;
 
-/// The availability zone of everything.
+/// The availability zone of the node and the engines.
 pub(super) const ZONE: &str = "here";
 const MODEL: &str = "recipe-model";
 const ENGINES: usize = 2;
 /// Sequences that an engine runs at the same time.
 const SLOTS: u32 = 16;
-/// Seed of what is random about the stand-ins.
+/// Seed of the platform's random generator.
 const SEED: u64 = 1;
 
-/// The stand-ins, which stop when this is dropped.
+/// The running stand-ins; dropping this value stops them.
 pub(super) struct Standins {
     pub(super) platform: SocketAddr,
     engines: Vec<SocketAddr>,
@@ -68,7 +68,7 @@
 }
 
 impl Standins {
-    /// A configuration with one service over every engine.
+    /// Returns a configuration with one service that all engines serve.
     pub(super) fn config(&self, service: &str) -> v1::Config {
         let endpoints = self.engines.iter().zip(1..).map(|(address, number)| {
             let number: u32 = number;
--- a/tests/cli/env.rs
+++ b/tests/cli/env.rs
@@ -1,4 +1,4 @@
-//! Runs the built program, and a fake node that answers as a test tells it.
+//! Runs the built program, and a fake node whose responses a test defines.
 
 use std::io::Write as _;
 use std::net::SocketAddr;
@@ -16,15 +16,15 @@
 use prost::Message;
 use tokio::sync::watch;
 
-/// What one run of the program left behind.
+/// Exit code and output of one run of the program.
 pub struct Run {
     pub code: i32,
     pub stdout: String,
     pub stderr: String,
 }
 
-/// Runs the program with `args`, `input` on its standard input, and none of
-/// the caller's environment that it reads.
+/// Runs the program with `args`, with `input` on standard input, and without the environment
+/// variables that would change its defaults.
 pub fn run(args: &[&str], input: &str) -> Run {
     let mut child = Command::new(env!("CARGO_BIN_EXE_auburnspoke"))
         .args(args)
@@ -36,7 +36,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    // A program that fails early does not read its input.
+    // Writing fails if the program exits before it reads its input.
     let _ = child.stdin.take().unwrap().write_all(input.as_bytes());
     let Output {
         status,
@@ -50,10 +50,10 @@
     }
 }
 
-/// A method's path and the request's bytes.
+/// Path of the called method and body of the request.
 pub type Call = (String, Bytes);
 
-/// A fake node on loopback; it lives as long as the test's process.
+/// A fake node on loopback, which runs until it is dropped.
 pub struct Node {
     pub address: SocketAddr,
     calls: Arc<Mutex<Vec<Call>>>,
@@ -61,8 +61,8 @@
 }
 
 impl Node {
-    /// Starts a node that answers each call as `answer` says, given the path
-    /// and how many calls came before.
+    /// Starts a node that responds to each call with the result of `answer`, which gets the path and
+    /// the number of earlier calls.
     pub fn start<F>(answer: F) -> Self
     where
         F: Fn(&str, usize) -> Reply + Clone + Send + 'static,
@@ -71,19 +71,19 @@
         let address = listener.local_addr().unwrap();
         let calls = Arc::new(Mutex::new(Vec::new()));
         let (stop, stopped) = watch::channel(false);
-        let seen = Arc::clone(&calls);
+        let recorded = Arc::clone(&calls);
         std::thread::spawn(move || {
             actix_rt::System::new().block_on(http::serve(listener, stopped, move |mut request| {
-                let seen = Arc::clone(&seen);
+                let recorded = Arc::clone(&recorded);
                 let answer = answer.clone();
                 async move {
                     let mut payload = request.take_payload();
                     let body = http::read_body(&mut payload, 1 << 24).await.unwrap();
                     let path = request.path().to_owned();
                     let before = {
-                        let mut seen = seen.lock().unwrap();
-                        seen.push((path.clone(), body));
-                        seen.len() - 1
+                        let mut recorded = recorded.lock().unwrap();
+                        recorded.push((path.clone(), body));
+                        recorded.len() - 1
                     };
                     answer(&path, before).into_response()
                 }
@@ -96,7 +96,7 @@
         }
     }
 
-    /// The calls so far.
+    /// Returns all calls so far.
     pub fn calls(&self) -> Vec<Call> {
         self.calls.lock().unwrap().clone()
     }
@@ -110,15 +110,15 @@
     }
 }
 
-/// An answer of the fake node.
+/// A response of the fake node.
 pub enum Reply {
-    /// A unary answer.
+    /// A unary response.
     Message(Vec<u8>),
-    /// Envelopes of a stream, as they stand.
+    /// Envelopes of a stream, sent unchanged.
     Stream(Vec<Bytes>),
-    /// A refusal: whether it is certain that nothing ran, and why.
+    /// A refusal, and whether it is certain that nothing ran.
     Refusal(bool, Refusal),
-    /// Something that is not Connect at all.
+    /// A response that is not in the Connect protocol.
     Raw(u16, &'static str),
 }
 
@@ -150,7 +150,7 @@
     }
 }
 
-/// A refusal that names when to come back.
+/// A refusal with a retry delay.
 pub fn overloaded() -> Refusal {
     Refusal::new(Reason::Overloaded)
         .with_message("every endpoint is full")
--- a/tests/cli_fleet.rs
+++ b/tests/cli_fleet.rs
@@ -1,4 +1,4 @@
-//! The commands against real nodes, as an operator and a caller would run them.
+//! Runs operator and caller commands against real node processes.
 
 use std::path::Path;
 
@@ -34,12 +34,15 @@
     let items = Path::new("examples/items.jsonl");
     let args = ["job", "submit", "--service", "recipes", "--wait"];
     let items = items.to_str().unwrap();
-    let sent = run(&fleet, &[&args[..], &[items]].concat(), "");
-    expect_that!(sent.code, eq(0), "{}", sent.stderr);
-    expect_that!(sent.stdout, contains_substring("3 items, 3 done, 0 failed"));
+    let submitted = run(&fleet, &[&args[..], &[items]].concat(), "");
+    expect_that!(submitted.code, eq(0), "{}", submitted.stderr);
+    expect_that!(
+        submitted.stdout,
+        contains_substring("3 items, 3 done, 0 failed")
+    );
     let again = run(&fleet, &[&args[..], &[items]].concat(), "");
     expect_that!(again.stdout, contains_substring("it is the same job"));
-    let job = sent.stdout.split(' ').nth(1).unwrap();
+    let job = submitted.stdout.split(' ').nth(1).unwrap();
     let results = run(&fleet, &["job", "results", job], "");
     expect_that!(results.stdout.lines().count(), eq(3));
     let listed = run(&fleet, &["job", "list"], "");
@@ -48,8 +51,8 @@
 
 #[gtest]
 fn refusals_of_a_node() {
-    // What a caller gets wrong is answered with what to do next, and nothing
-    // runs.
+    // A request for an unknown service or job is refused with a reason, and no request reaches the
+    // engine.
     let mut fleet = env::Fleet::new();
     fleet.engine(&["--faster", "20"]);
     fleet.node("zone-0");
@@ -84,8 +87,8 @@
 
 #[gtest]
 fn config_two_operators() {
-    // Two operators show the same version and both change it. The second must
-    // be told, and what the first changed must stand.
+    // Two operators edit the same version of the configuration. The second commit must fail with a
+    // conflict and leave the first one's change in force.
     let mut fleet = env::Fleet::new();
     fleet.engine(&["--faster", "20"]);
     fleet.node("zone-0").node("zone-1");
@@ -150,12 +153,12 @@
 
 #[gtest]
 fn pages_of_a_node() {
-    // Every metric that a node shows has its line on the operators' page.
+    // Every metric that a node exposes is documented on the operators' page.
     let mut fleet = env::Fleet::new();
     fleet.node("zone-0");
     let address = fleet.nodes[0].address("callers");
     expect_that!(env::get(&address, "/healthz").0, eq(200));
-    // It knows no configuration yet: healthy, but not ready.
+    // Without a configuration, the node is healthy but not ready.
     expect_that!(env::get(&address, "/readyz").0, eq(503));
     fleet.configure();
     expect_that!(env::get(&address, "/readyz").0, eq(200));
@@ -173,21 +176,20 @@
 
 #[gtest]
 fn locate_and_drain() {
-    // An operator drains a node. It must no longer be named to callers, and it
-    // ends by itself.
+    // A drained node must no longer be returned by Locate, and its process must exit with code 0.
     let mut fleet = env::Fleet::new();
     fleet.engine(&["--faster", "20"]);
     fleet.node("zone-0").node("zone-1");
     fleet.await_members(2);
     fleet.configure();
     let leaving = fleet.nodes[1].address("callers");
-    let named = run(&fleet, &["locate", "--count", "9"], "");
-    expect_that!(named.stdout, contains_substring(leaving.as_str()));
+    let located = run(&fleet, &["locate", "--count", "9"], "");
+    expect_that!(located.stdout, contains_substring(leaving.as_str()));
     let drained = run(&fleet, &["drain", "node-1"], "");
     expect_that!(drained.code, eq(0), "{}", drained.stderr);
-    env::until("the leaving node is no longer named", || {
-        let named = run(&fleet, &["locate", "--count", "9"], "");
-        named.code == 0 && !named.stdout.contains(&leaving)
+    env::until("the draining node is no longer located", || {
+        let located = run(&fleet, &["locate", "--count", "9"], "");
+        located.code == 0 && !located.stdout.contains(&leaving)
     });
     expect_that!(fleet.nodes[1].wait(), some(eq(0)));
 }
--- a/tests/cli_local.rs
+++ b/tests/cli_local.rs
@@ -1,5 +1,5 @@
-//! Commands that talk to no node: help, completion, check, and input that is
-//! refused before anything is sent.
+//! Commands that call no node: help, completion, check, and invalid input that is refused before
+//! anything is sent.
 
 use googletest::prelude::*;
 
@@ -9,9 +9,9 @@
 
 use env::run;
 
-/// An address at which nobody listens, so that a command that would send
-/// something ends with another code than one that refuses its input.
-const NOBODY: [&str; 2] = ["--server", "127.0.0.1:9"];
+/// An address on which nothing listens: a command that sends a request exits with code 6
+/// (unreachable) instead of 3 (invalid input).
+const UNREACHABLE: [&str; 2] = ["--server", "127.0.0.1:9"];
 
 #[gtest]
 fn help_groups() {
@@ -54,8 +54,8 @@
     }
 }
 
-/// The platform writes a file that lacks what a node needs. `check` names each
-/// fault with its line, whichever of the two formats the file has.
+/// A settings file that the platform wrote is incomplete. `check` reports each problem with its
+/// line in this format as well as in a node's own.
 #[gtest]
 fn check_platform_file() {
     let text = "node = \"edge-1\"\nzone = 7\n[bounds]\ngrace_s = \"8\"\n";
@@ -94,8 +94,8 @@
 
 #[gtest]
 fn serve_bad_settings() {
-    // An operator starts a node with a misspelt key. Without the refusal the
-    // node would run with a default in its place.
+    // A settings file has a misspelt key. If the key were ignored, the node would run with the
+    // default value instead.
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("node.toml");
     let good = std::fs::read_to_string("examples/settings/trust.toml").unwrap();
@@ -110,52 +110,64 @@
 
 #[gtest]
 fn submit_line_not_json() {
-    // A finance office sends a file in which one line was cut off. Without the
-    // check the note on it would be missing from the results.
+    // One line of a file of items is truncated and one has a misspelt key. If such lines were
+    // skipped, their results would be missing without an error.
     let lines = "{\"prompt\": \"one\"}\n{\"prompt\": \"tw\n\n{\"promt\": \"three\"}\n";
-    let sent = run(
-        &[&["job", "submit", "--service", "s", "-"][..], &NOBODY].concat(),
+    let submitted = run(
+        &[&["job", "submit", "--service", "s", "-"][..], &UNREACHABLE].concat(),
         lines,
     );
-    expect_that!(sent.code, eq(3));
-    expect_that!(sent.stderr, contains_substring("line 2: is no item"));
-    expect_that!(sent.stderr, contains_substring("line 4: is no item"));
-    expect_that!(sent.stderr, contains_substring("nothing was sent"));
+    expect_that!(submitted.code, eq(3));
+    expect_that!(
+        submitted.stderr,
+        contains_substring("line 2: is not an item")
+    );
+    expect_that!(
+        submitted.stderr,
+        contains_substring("line 4: is not an item")
+    );
+    expect_that!(submitted.stderr, contains_substring("nothing was sent"));
 }
 
 #[gtest]
 fn submit_empty() {
-    let sent = run(
-        &[&["job", "submit", "--service", "s", "-"][..], &NOBODY].concat(),
+    let submitted = run(
+        &[&["job", "submit", "--service", "s", "-"][..], &UNREACHABLE].concat(),
         "\n\n",
     );
-    expect_that!(sent.code, eq(3));
-    expect_that!(sent.stderr, contains_substring("there are no items"));
+    expect_that!(submitted.code, eq(3));
+    expect_that!(submitted.stderr, contains_substring("there are no items"));
 }
 
 #[gtest]
 fn submit_key_twice() {
-    // Two lines name the same item. Without the check one recipe's sheet would
-    // stand for both.
+    // Two items have the same key. If the job were accepted, one result would be returned for both
+    // prompts.
     let lines = "{\"key\": \"a\", \"prompt\": \"x\"}\n{\"key\": \"a\", \"prompt\": \"y\"}\n";
-    let sent = run(
-        &[&["job", "submit", "--service", "s", "-"][..], &NOBODY].concat(),
+    let submitted = run(
+        &[&["job", "submit", "--service", "s", "-"][..], &UNREACHABLE].concat(),
         lines,
     );
-    expect_that!(sent.code, eq(3));
-    expect_that!(sent.stderr, contains_substring("key `a` is that of line 1"));
+    expect_that!(submitted.code, eq(3));
+    expect_that!(
+        submitted.stderr,
+        contains_substring("key `a` is already used on line 1")
+    );
 }
 
 #[gtest]
 fn ask_empty_question() {
-    let asked = run(&[&["ask", "--service", "s", ""][..], &NOBODY].concat(), "");
+    let asked = run(
+        &[&["ask", "--service", "s", ""][..], &UNREACHABLE].concat(),
+        "",
+    );
     expect_that!(asked.code, eq(3));
 }
 
 #[gtest]
 fn ask_unreachable() {
     let asked = run(
-        &[&["ask", "--service", "s", "hi"][..], &NOBODY].concat(),
+        &[&["ask", "--service", "s", "hi"][..], &UNREACHABLE].concat(),
         "",
     );
     expect_that!(asked.code, eq(6));
@@ -165,7 +177,10 @@
 #[gtest]
 fn apply_unknown_key() {
     let document = "version = 1\n[[services]]\nname = \"s\"\nkind = \"model\"\nreplica = 3\n";
-    let applied = run(&[&["config", "apply", "-"][..], &NOBODY].concat(), document);
+    let applied = run(
+        &[&["config", "apply", "-"][..], &UNREACHABLE].concat(),
+        document,
+    );
     expect_that!(applied.code, eq(3));
     expect_that!(applied.stderr, contains_substring("line 5"));
     expect_that!(applied.stderr, contains_substring("replicas"));
@@ -173,9 +188,9 @@
 
 #[gtest]
 fn apply_without_version() {
-    // An operator applies a document that does not say what it was made from.
-    // Without a version it would overwrite whatever a colleague did meanwhile.
-    let applied = run(&[&["config", "apply", "-"][..], &NOBODY].concat(), "");
+    // A document without a version is applied. Without a version to compare, the commit would
+    // overwrite changes that were made since the document was written.
+    let applied = run(&[&["config", "apply", "-"][..], &UNREACHABLE].concat(), "");
     expect_that!(applied.code, eq(3));
     expect_that!(applied.stderr, contains_substring("--expect-version"));
 }
--- a/tests/cli_remote.rs
+++ b/tests/cli_remote.rs
@@ -1,4 +1,4 @@
-//! Commands against a fake node: what they send, print and exit with.
+//! Runs commands against a fake node and checks their requests, output and exit codes.
 
 use auburnspoke::outcome::{Reason, Refusal};
 use auburnspoke::rpc::{error, v1};
@@ -109,8 +109,8 @@
 
 #[gtest]
 fn ask_may_have_run() {
-    // An endpoint fails in the middle of an answer. A clerk who was told "not
-    // run" would screen the invoice a second time.
+    // An endpoint fails in the middle of an answer. If the command reported "not run", the caller
+    // would repeat the request and it could run twice.
     let node = Node::start(|_, _| {
         let error = error::body(false, &overloaded());
         let end = end(&serde_json::json!({ "error": error }).to_string());
@@ -137,8 +137,8 @@
 
 #[gtest]
 fn ask_broken_off() {
-    // The node dies after half an answer. Without the check the caller would
-    // take the half for the whole.
+    // The node crashes in the middle of an answer. The truncated answer must not be reported as
+    // complete.
     let node = Node::start(|_, _| Reply::Stream(vec![text(0, "Yes, ")]));
     let asked = node.run(&ASK, "");
     expect_that!(asked.code, eq(5));
@@ -147,8 +147,8 @@
 
 #[gtest]
 fn ask_end_missing() {
-    // The stream closes in good order but the answer's own end never came, as
-    // when a dispatcher gave up. Half an answer must not pass for the whole.
+    // The stream ends regularly but without the answer's end piece, as when a dispatcher gives up.
+    // The truncated answer must not be reported as complete.
     let node = Node::start(|_, _| Reply::Stream(vec![text(0, "Yes, "), end("{}")]));
     let asked = node.run(&ASK, "");
     expect_that!(asked.code, eq(5));
@@ -156,8 +156,8 @@
 
 #[gtest]
 fn ask_not_connect() {
-    // Something else than a node answers at the address. Only a node can vouch
-    // that nothing ran.
+    // The server at the address is not a node. Only a node's refusal proves that nothing ran, so a
+    // plain 503 has to be reported as "may have run".
     let node = Node::start(|_, _| Reply::Raw(503, "<html>busy</html>"));
     expect_that!(node.run(&ASK, "").code, eq(5));
 }
@@ -174,24 +174,23 @@
     Refusal::new(Reason::NotReady).with_message("the node stops; use another address")
 }
 
-fn both(first: &Node, second: &Node) -> String {
+fn servers_of(first: &Node, second: &Node) -> String {
     format!("{},{}", first.address, second.address)
 }
 
-/// Nodes are restarted one after the other under load. The one that stops sends
-/// a question away unrun; without going on to the next address, the clerk sees
-/// a refusal though two other nodes would have answered.
+/// Rolling restart under load: the stopping node refuses a question as not run. The client must
+/// try the next address, or the caller gets an error although another node would answer.
 #[gtest]
 fn ask_next_server_not_ready() {
     let stopping = Node::start(|_, _| Reply::Refusal(true, leaving()));
     let serving = Node::start(|_, _| Reply::Stream(vec![text(0, "Yes"), last(), end("{}")]));
-    let servers = both(&stopping, &serving);
+    let servers = servers_of(&stopping, &serving);
     let asked = env::run(&[&ASK[..], &["--server", &servers]].concat(), "");
     expect_that!(asked.stdout, eq("Yes\n"));
     expect_that!(asked.code, eq(0));
 }
 
-/// The same where the refusal comes inside the stream, as a node's does.
+/// The same with the refusal at the end of the stream, which is how a node sends it.
 #[gtest]
 fn ask_next_server_not_ready_in_stream() {
     let stopping = Node::start(|_, _| {
@@ -201,26 +200,26 @@
         ])
     });
     let serving = Node::start(|_, _| Reply::Stream(vec![last(), end("{}")]));
-    let servers = both(&stopping, &serving);
+    let servers = servers_of(&stopping, &serving);
     let asked = env::run(&[&ASK[..], &["--server", &servers]].concat(), "");
     expect_that!(asked.code, eq(0));
     expect_that!(stopping.calls().len(), eq(1));
 }
 
-/// A node that stops can't tell whether what it had begun has run. Sending the
-/// question on would run it a second time.
+/// A stopping node can't rule out that a request it had started has run. Retrying it at the next
+/// address could run it twice.
 #[gtest]
 fn ask_next_server_may_have_run() {
     let stopping = Node::start(|_, _| Reply::Refusal(false, leaving()));
     let serving = Node::start(|_, _| Reply::Stream(vec![last(), end("{}")]));
-    let servers = both(&stopping, &serving);
+    let servers = servers_of(&stopping, &serving);
     let asked = env::run(&[&ASK[..], &["--server", &servers]].concat(), "");
     expect_that!(asked.code, eq(5));
     expect_that!(serving.calls().len(), eq(0));
 }
 
-/// No node takes calls. The user hears what the nodes said, and not that the one
-/// which is down could not be reached.
+/// One node refuses and the other is unreachable. The refusal is reported rather than the
+/// connection error, because it states why the request was not run.
 #[gtest]
 fn ask_no_server_ready() {
     let stopping = Node::start(|_, _| Reply::Refusal(true, leaving()));
@@ -230,8 +229,8 @@
     expect_that!(asked.stderr, contains_substring("not_ready"));
 }
 
-/// A job is sent to a node that has just started and knows no configuration
-/// yet. The planner would have to find out that another node takes it.
+/// A job is submitted to a node that has just started and has no configuration yet. The client
+/// must submit it to the next address instead of failing.
 #[gtest]
 fn submit_next_server_not_ready() {
     let starting = Node::start(|_, _| Reply::Refusal(true, Refusal::new(Reason::NotReady)));
@@ -242,7 +241,7 @@
             resent: false,
         })
     });
-    let servers = both(&starting, &serving);
+    let servers = servers_of(&starting, &serving);
     let args = ["job", "submit", "--service", "s", "--server", &servers, "-"];
     let sent = env::run(&args, "{\"prompt\": \"x\"}\n");
     expect_that!(sent.code, eq(0));
@@ -250,9 +249,8 @@
 
 #[gtest]
 fn submit_lost_answer() {
-    // The answer to a submission is lost after the job was accepted. The
-    // program sends it again; a changing key would make it a second job and
-    // every advice would be sent twice.
+    // The response to a submission is lost after the job was accepted. The program retries with the
+    // same idempotency key; a new key would create a second job and duplicate every result.
     let node = Node::start(|_, before| match before {
         0 => Reply::Raw(502, "lost"),
         _ => Reply::message(&v1::SubmitJobResponse {
@@ -307,14 +305,14 @@
     let sent = node.run(&args, "{\"prompt\": \"x\"}\n{\"prompt\": \"y\"}\n");
     expect_that!(sent.code, eq(7));
     expect_that!(sent.stdout, contains_substring("2 items, 1 done, 1 failed"));
-    // The standard error stream is no terminal here: no progress bar.
+    // Standard error is not a terminal here, so no progress bar is drawn.
     expect_that!(sent.stderr, eq(""));
 }
 
 #[gtest]
 fn status_wait_outage() {
-    // A node restarts while somebody waits for a job. Without looking again the
-    // command would end in an error although nothing is lost.
+    // A node is unavailable for a moment while the command waits for a job. Without another poll the
+    // command would fail although the job continues.
     let node = Node::start(|_, before| match before {
         0 => Reply::Refusal(true, overloaded()),
         _ => Reply::message(&v1::JobStatusResponse {
@@ -358,8 +356,8 @@
 
 #[gtest]
 fn config_round_trip() {
-    // What `show` prints is what `apply` takes, with the version it was made
-    // from: two operators who edit at the same time can't overwrite each other.
+    // `apply` accepts the output of `show`, including its version: two operators who edit at the
+    // same time can't overwrite each other's changes.
     let document = std::fs::read_to_string("examples/config.toml").unwrap();
     let node = Node::start(|path, _| {
         if path.ends_with("GetConfig") {
--- a/tests/cli_try.rs
+++ b/tests/cli_try.rs
@@ -1,4 +1,4 @@
-//! `try`, the first thing that a newcomer runs.
+//! Runs `try`, which starts a whole system in one process.
 
 use std::io::{BufRead as _, BufReader};
 use std::process::{Command, Stdio};
@@ -56,16 +56,16 @@
         .spawn()
         .unwrap();
     let lines = BufReader::new(child.stdout.take().unwrap()).lines();
-    let mut said = false;
+    let mut is_serving = false;
     for line in lines.map_while(Result::ok) {
         if line.starts_with("Still serving") {
-            said = true;
+            is_serving = true;
         }
         if line.contains("curl http://") {
             break;
         }
     }
-    expect_that!(said, eq(true));
+    expect_that!(is_serving, eq(true));
     kill_process(Pid::from_child(&child), Signal::INT).unwrap();
     expect_that!(child.wait().unwrap().code(), some(eq(0)));
 }
--- a/tests/readme_commands.rs
+++ b/tests/readme_commands.rs
@@ -1,4 +1,4 @@
-//! The pages show commands, links, codes and keys that exist.
+//! Checks that the commands, links, exit codes, settings and tests named in the pages exist.
 
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -23,8 +23,8 @@
     std::fs::read_to_string(page).unwrap()
 }
 
-/// The words of a shell line, as far as the pages need it: double quotes, and
-/// an end at a comment or a redirection.
+/// Splits a shell line into words. Supports only what the pages use: double quotes, and an end at a
+/// comment, a redirection or a pipe.
 fn words(line: &str) -> Vec<String> {
     let mut words = vec![String::new()];
     let mut quoted = false;
@@ -62,7 +62,7 @@
 }
 
 #[gtest]
-fn links_lead_somewhere() {
+fn links_exist() {
     for page in PAGES {
         let folder = Path::new(page).parent().unwrap();
         for link in read(page).split("](").skip(1) {
@@ -74,7 +74,7 @@
     }
 }
 
-/// The first cells of the rows of a page's table that follows `heading`.
+/// Returns the cells of the first table after `heading`, row by row and without backquotes.
 fn rows(page: &str, heading: &str) -> Vec<Vec<String>> {
     let text = read(page);
     let (_, after) = text.split_once(heading).unwrap();
@@ -91,21 +91,21 @@
 
 #[gtest]
 fn commands_listed() {
-    let mut known = BTreeSet::new();
+    let mut defined = BTreeSet::new();
     for command in cli::command().get_subcommands() {
         let subcommands: Vec<_> = command.get_subcommands().collect();
         if subcommands.is_empty() {
-            known.insert(command.get_name().to_owned());
+            defined.insert(command.get_name().to_owned());
         }
         for subcommand in subcommands {
-            known.insert(format!("{} {}", command.get_name(), subcommand.get_name()));
+            defined.insert(format!("{} {}", command.get_name(), subcommand.get_name()));
         }
     }
     let listed: BTreeSet<_> = rows("docs/CLI.md", "# Command line")
         .into_iter()
         .map(|row| row[0].clone())
         .collect();
-    expect_that!(listed, eq(&known));
+    expect_that!(listed, eq(&defined));
 }
 
 #[gtest]
@@ -154,7 +154,7 @@
 
 #[gtest]
 fn proofs_name_tests() {
-    // A proof that names a test which is gone proves nothing.
+    // A proof must not refer to a test that has been removed or renamed.
     let mut count = 0;
     for line in read("docs/PROOFS.md").lines() {
         let mut file = String::new();
