--- a/src/edge.rs
+++ b/src/edge.rs
@@ -399,7 +399,7 @@
             zone: shared.site.zone.clone(),
             clock: shared.clock,
             store: Client::new(shared.site.store.address),
-            row_bytes: shared.site.store.row_bytes,
+            row_bytes: shared.site.store.max_row_bytes,
             result_retention: shared.site.bounds.result_retention,
             broker: Rc::clone(&desk),
             detector: Rc::clone(&ward),
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -232,12 +232,12 @@
     let address = section
         .require("address", "\"10.0.9.1:8169\"", faults)
         .and_then(|entry| entry.address(faults));
-    let row_bytes = section
+    let max_row_bytes = section
         .require("row_bytes", "65536", faults)
         .and_then(|entry| entry.number((1, MAX_ROW_BYTES), faults));
     Some(Store {
         address: address?,
-        row_bytes: row_bytes?,
+        max_row_bytes: max_row_bytes?,
     })
 }
 
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -110,16 +110,16 @@
         if let Some(conn) = self.take_idle() {
             match self.exchange(conn, &method, path, &body, deadline).await {
                 Err(Failure::Unsent(_)) => {}
-                other => return other.map_err(|why| log_lost(path, &why)),
+                other => return other.map_err(|why| lost(path, &why)),
             }
         }
         let conn = connect::open(self.inner.address, CONNECT_TIMEOUT.min(limit))
             .await
-            .map_err(|why| log_refused(path, &why))?;
+            .map_err(|why| refused(path, &why))?;
         match self.exchange(conn, &method, path, &body, deadline).await {
             Ok(answer) => Ok(answer),
-            Err(why @ Failure::Unsent(_)) => Err(log_refused(path, &why)),
-            Err(why @ Failure::Broken(_)) => Err(log_lost(path, &why)),
+            Err(why @ Failure::Unsent(_)) => Err(refused(path, &why)),
+            Err(why @ Failure::Broken(_)) => Err(lost(path, &why)),
         }
     }
 
@@ -234,12 +234,14 @@
     }
 }
 
-fn log_lost(path: &str, why: &Failure) -> Fault {
+/// Logs a call whose effect is unknown, and returns its fault.
+fn lost(path: &str, why: &Failure) -> Fault {
     log::debug!("{} path={path} why=\"{why}\"", event::STORE_CALL_LOST);
     Fault::Unknown
 }
 
-fn log_refused(path: &str, why: &Failure) -> Fault {
+/// Logs a call that had no effect, and returns its fault.
+fn refused(path: &str, why: &Failure) -> Fault {
     log::debug!("{} path={path} why=\"{why}\"", event::STORE_CALL_REFUSED);
     Fault::Refused {
         retry_after: REFUSED_RETRY,
@@ -279,7 +281,7 @@
 }
 
 /// Returns the part that holds a table. A part takes some 200 transactions a second. When all nodes
-/// restart at once, their rows would queue in the same part successor the jobs that they take over,
+/// restart at once, their rows would queue in the same part behind the jobs that they take over,
 /// and would be refused.
 fn partition(table: &str) -> &str {
     match table {
--- a/src/site.rs
+++ b/src/site.rs
@@ -63,7 +63,7 @@
     /// The address that it listens on.
     pub address: SocketAddr,
     /// Maximum size of a row's value, in bytes.
-    pub row_bytes: usize,
+    pub max_row_bytes: usize,
 }
 
 /// Bounds on the system's behaviour.
--- a/tests/platform_decode.rs
+++ b/tests/platform_decode.rs
@@ -47,14 +47,14 @@
     expect_that!(site.listen.pool.to_string(), eq("10.1.0.10:7720"));
     expect_that!(site.listen.link.to_string(), eq("10.1.0.10:7721"));
     expect_that!(site.bounds.grace, eq(Duration::from_secs(8)));
-    expect_that!(site.store.row_bytes, eq(65_536));
+    expect_that!(site.store.max_row_bytes, eq(65_536));
 }
 
 /// The platform's file lacks a field or has an invalid one. A node that started anyway would use a
 /// wrong address or time-out, which would go unnoticed until a request is lost.
 #[gtest]
 fn settings_invalid_value() {
-    for (right, wrong, names) in [
+    for (valid, invalid, key) in [
         ("zone = \"z1\"", "", "zone"),
         ("[7720, 7735]", "[7735, 7720]", "port_range"),
         ("[7720, 7735]", "[7720, 7721]", "port_range"),
@@ -62,9 +62,9 @@
         ("cpu_share = 0.5", "cpu_share = -0.5", "cpu_share"),
         ("10.200.1.7:8169", "10.200.1.7", "address"),
     ] {
-        let text = SETTINGS.replacen(right, wrong, 1);
+        let text = SETTINGS.replacen(valid, invalid, 1);
         let error = settings::parse(&text).unwrap_err();
-        expect_that!(format!("{error:#}"), contains_substring(names));
+        expect_that!(format!("{error:#}"), contains_substring(key));
     }
 }
 
@@ -172,12 +172,12 @@
     };
     let entry = endpoint::from_row(&row).unwrap();
     expect_that!(entry.endpoint.unwrap().ready, eq(false));
-    let gone = Change {
+    let removal = Change {
         key: "i-1".into(),
         version: 4,
         value: None,
     };
-    expect_that!(endpoint::from_change(&gone).unwrap().endpoint, none());
+    expect_that!(endpoint::from_change(&removal).unwrap().endpoint, none());
 }
 
 fn decode(method: &str, target: &str) -> Call {
@@ -270,7 +270,7 @@
     // missing fields, requests would be sent to an address where nothing answers. It must be
     // rejected as a whole, and other rows stay valid.
     let good = r#"{"service":"s","address":"10.128.0.9:8080","zone":"z1","slots":8,"state":"ready","born":1700000000000}"#;
-    let wrong = [
+    let invalid = [
         "",
         "{",
         "[]",
@@ -295,7 +295,7 @@
     };
     let entry = endpoint::from_row(&row(good.as_bytes())).unwrap();
     expect_that!(entry.endpoint.unwrap().incarnation, eq(1_700_000_000_000));
-    for value in wrong {
+    for value in invalid {
         let unreadable = endpoint::from_row(&row(value.as_bytes())).unwrap_err();
         expect_that!(unreadable.version, eq(3), "of {value}");
         expect_that!(*unreadable.id, eq("i-1"));
