--- a/src/embedded.rs
+++ b/src/embedded.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the platform and the endpoints, as `try` embeds them and the
-//! `standin` program runs them as processes of their own.
+//! Stand-ins for the platform and the endpoints. `try` embeds them; the `standin` program runs them
+//! as separate processes.
 
 pub mod engine;
 pub mod plain;
--- a/src/embedded/engine.rs
+++ b/src/embedded/engine.rs
@@ -1,11 +1,9 @@
-//! A stand-in model engine: a cost model in virtual time and an HTTP server
-//! around it.
+//! A stand-in model engine: a cost model in virtual time and an HTTP server around it.
 //!
-//! [`Model`] batches continuously, as the engines that the platform gives do:
-//! its steps grow with sequences and context, prefill competes with decode,
-//! KV memory is limited and preempts, prompt prefixes are cached, and its
-//! report lags. docs/design/engine.md describes the cost model, its parameters
-//! and the protocol of [`serve`].
+//! [`Model`] uses continuous batching, as the platform's engines do: step time grows with the
+//! number of sequences and their context, prefill competes with decode, a full KV memory preempts
+//! sequences, prompt prefixes are cached, and the load report is stale. docs/design/engine.md
+//! describes the cost model, its parameters and the protocol of [`serve`].
 
 mod answer;
 pub mod cache;
@@ -26,27 +24,27 @@
 /// Bytes of text that count as one token.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// Tokens that `text` is taken to have, at least 1.
+/// Estimates the number of tokens in `text`, at least 1.
 pub fn count_tokens(text: &str) -> u32 {
     u32::try_from(text.len().div_ceil(BYTES_PER_TOKEN).max(1)).unwrap_or(u32::MAX)
 }
 
-/// The token at `index` of the answer to `prompt`.
+/// Returns the token at `index` of the answer to `prompt`.
 ///
-/// It follows from the two alone, so that a test can tell a whole answer from
-/// one with a lost, doubled or foreign piece, also when it was resumed.
+/// It depends on these two alone, so that a test can detect a missing, duplicated or foreign piece
+/// of an answer, even of a resumed one.
 pub fn token(prompt: &str, index: u32) -> String {
     let hash = xxh3_64_with_seed(prompt.as_bytes(), u64::from(index));
     format!("{:04x} ", hash & 0xffff)
 }
 
-/// The first `count` tokens of the answer to `prompt`.
+/// Returns the first `count` tokens of the answer to `prompt`.
 pub fn answer(prompt: &str, count: u32) -> String {
     (0..count).map(|index| token(prompt, index)).collect()
 }
 
-/// Hashes of the whole blocks of a prompt, each taking in those before it, so
-/// that equal hashes mean equal prefixes.
+/// Returns a hash for each full block of a prompt. Each hash covers the preceding blocks as well,
+/// so that equal hashes mean equal prefixes.
 pub fn blocks(prompt: &str, block_tokens: u32) -> Vec<u64> {
     let len = (block_tokens as usize * BYTES_PER_TOKEN).max(1);
     let mut hash = 0;
--- a/src/embedded/engine/answer.rs
+++ b/src/embedded/engine/answer.rs
@@ -1,4 +1,4 @@
-//! The body of an answer, as an event stream or as a whole.
+//! The response body of a completion, as an event stream or as one event.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -7,40 +7,40 @@
 use futures_util::Stream;
 
 use super::protocol::Event;
-use super::state::{Begun, Broken};
+use super::state::{Broken, Handle};
 
-/// The body of an answer; dropping it before its end cancels the run, as when
-/// the reader goes away.
+/// The response body of a run. Dropping it before its end cancels the run, as when the client
+/// disconnects.
 pub struct Answer<C>
 where
     C: FnMut(u64),
 {
-    begun: Begun,
+    run: Handle,
     cancel: C,
-    ended: bool,
-    done: bool,
+    is_complete: bool,
+    is_closed: bool,
 }
 
 impl<C> Answer<C>
 where
     C: FnMut(u64),
 {
-    /// The answer of `begun`; `cancel` is called if it is dropped too early.
-    pub fn new(begun: Begun, cancel: C) -> Self {
+    /// Creates the body of `run`; `cancel` is called if the body is dropped before its end.
+    pub fn new(run: Handle, cancel: C) -> Self {
         Self {
-            begun,
+            run,
             cancel,
-            ended: false,
-            done: false,
+            is_complete: false,
+            is_closed: false,
         }
     }
 
-    /// Waits for the whole answer as one event; none if it broke off.
-    pub async fn whole(&mut self) -> Option<Event> {
-        let mut whole: Option<Event> = None;
-        while let Some(Ok(event)) = self.begun.events.recv().await {
-            let Some(first) = whole.as_mut() else {
-                whole = Some(event);
+    /// Collects the complete answer into one event. Returns `None` if the run was broken off.
+    pub async fn read_all(&mut self) -> Option<Event> {
+        let mut collected: Option<Event> = None;
+        while let Some(Ok(event)) = self.run.events.recv().await {
+            let Some(first) = collected.as_mut() else {
+                collected = Some(event);
                 continue;
             };
             first.tokens += event.tokens;
@@ -50,12 +50,12 @@
                 into.finish_reason = from.finish_reason;
             }
         }
-        let whole = whole.filter(|event| {
+        let collected = collected.filter(|event| {
             let reason = event.choices.first().map(|c| c.finish_reason.is_some());
             reason == Some(true)
         });
-        self.ended = whole.is_some();
-        whole
+        self.is_complete = collected.is_some();
+        collected
     }
 }
 
@@ -66,28 +66,29 @@
     type Item = Result<Bytes, Broken>;
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
-        if self.done {
+        if self.is_closed {
             return Poll::Ready(None);
         }
-        match self.begun.events.poll_recv(cx) {
+        match self.run.events.poll_recv(cx) {
             Poll::Pending => Poll::Pending,
             Poll::Ready(Some(Ok(event))) => {
                 let last = event.choices.iter().any(|c| c.finish_reason.is_some());
-                self.ended |= last;
+                self.is_complete |= last;
                 let text = serde_json::to_string(&event).unwrap_or_default();
                 Poll::Ready(Some(Ok(Bytes::from(format!("data: {text}\n\n")))))
             }
             Poll::Ready(Some(Err(broken))) => {
-                self.done = true;
+                self.is_closed = true;
                 Poll::Ready(Some(Err(broken)))
             }
-            Poll::Ready(None) if self.ended => {
-                self.done = true;
+            Poll::Ready(None) if self.is_complete => {
+                self.is_closed = true;
                 Poll::Ready(Some(Ok(Bytes::from_static(b"data: [DONE]\n\n"))))
             }
-            // Cancelled by name: an unfinished body tells the reader so.
+            // Cancelled by request id: ending the body with an error shows the client that the
+            // answer is incomplete.
             Poll::Ready(None) => {
-                self.done = true;
+                self.is_closed = true;
                 Poll::Ready(Some(Err(Broken)))
             }
         }
@@ -99,8 +100,8 @@
     C: FnMut(u64),
 {
     fn drop(&mut self) {
-        if !self.ended {
-            (self.cancel)(self.begun.id);
+        if !self.is_complete {
+            (self.cancel)(self.run.id);
         }
     }
 }
--- a/src/embedded/engine/cache.rs
+++ b/src/embedded/engine/cache.rs
@@ -1,4 +1,4 @@
-//! The prefix cache and its late, gappy events.
+//! The prefix cache. Its events are delayed and some are lost.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -9,81 +9,81 @@
 
 use crate::clock::Time;
 
-/// Events that are kept for readers that ask late.
-const HISTORY: usize = 10_000;
+/// Maximum number of events kept for readers.
+const MAX_EVENTS: usize = 10_000;
 
 /// A change of the prefix cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
-    /// Counts up by one with each change; a reader sees a gap by it.
+    /// Sequence number, which grows by one with each change, so that a reader can detect a gap.
     pub sequence: u64,
-    /// The block, as [`super::blocks`] names it.
+    /// The block's hash, as returned by [`super::blocks`].
     pub block: u64,
-    /// True when it was stored, false when it was evicted.
+    /// True if the block was stored, false if it was evicted.
     pub stored: bool,
 }
 
-/// The blocks that the engine holds, least recently used first out.
+/// The cached blocks, evicted in least recently used order.
 #[derive(Debug)]
 pub struct Cache {
     capacity: usize,
     lag: Duration,
     loss: u32,
-    used: BTreeMap<u64, u64>,
+    used_at: BTreeMap<u64, u64>,
     order: BTreeMap<u64, u64>,
-    turn: u64,
+    uses: u64,
     sequence: u64,
     events: VecDeque<(Time, Event)>,
     random: ChaCha8Rng,
 }
 
 impl Cache {
-    /// An empty cache of `capacity` blocks whose events come `lag` late and
-    /// get lost `loss` times in a hundred.
+    /// Creates an empty cache of `capacity` blocks. Its events are delayed by `lag`, and `loss` percent
+    /// of them are lost.
     pub fn new(capacity: usize, lag: Duration, loss: u32, seed: u64) -> Self {
         Self {
             capacity,
             lag,
             loss,
-            used: BTreeMap::new(),
+            used_at: BTreeMap::new(),
             order: BTreeMap::new(),
-            turn: 0,
+            uses: 0,
             sequence: 0,
             events: VecDeque::new(),
             random: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
-    /// How many of the leading blocks are held; they count as used.
-    pub fn hit(&mut self, blocks: &[u64]) -> u32 {
-        let held = blocks
+    /// Returns how many leading blocks are cached, and marks these as used.
+    pub fn lookup(&mut self, blocks: &[u64]) -> u32 {
+        let cached = blocks
             .iter()
-            .take_while(|block| self.used.contains_key(block))
+            .take_while(|block| self.used_at.contains_key(block))
             .count();
-        for block in &blocks[..held] {
+        for block in &blocks[..cached] {
             self.touch(*block);
         }
-        u32::try_from(held).unwrap_or(u32::MAX)
+        u32::try_from(cached).unwrap_or(u32::MAX)
     }
 
-    /// Keeps the blocks of a prompt that has been computed.
+    /// Stores the blocks of a prompt whose prefill has finished.
     pub fn store(&mut self, now: Time, blocks: &[u64]) {
         for &block in blocks {
-            if !self.used.contains_key(&block) {
-                self.tell(now, block, true);
+            if !self.used_at.contains_key(&block) {
+                self.record(now, block, true);
             }
             self.touch(block);
         }
-        while self.used.len() > self.capacity {
+        while self.used_at.len() > self.capacity {
             let Some((_, block)) = self.order.pop_first() else {
                 return;
             };
-            self.used.remove(&block);
-            self.tell(now, block, false);
+            self.used_at.remove(&block);
+            self.record(now, block, false);
         }
     }
 
-    /// The events after `sequence` that have become visible by `now`.
+    /// Returns the events after `sequence` that are visible at `now`.
     pub fn events(&self, now: Time, sequence: u64) -> Vec<Event> {
         self.events
             .iter()
@@ -93,14 +93,14 @@
     }
 
     fn touch(&mut self, block: u64) {
-        self.turn += 1;
-        if let Some(before) = self.used.insert(block, self.turn) {
+        self.uses += 1;
+        if let Some(before) = self.used_at.insert(block, self.uses) {
             self.order.remove(&before);
         }
-        self.order.insert(self.turn, block);
+        self.order.insert(self.uses, block);
     }
 
-    fn tell(&mut self, now: Time, block: u64, stored: bool) {
+    fn record(&mut self, now: Time, block: u64, stored: bool) {
         self.sequence += 1;
         if self.random.random_range(0..100) < self.loss {
             return;
@@ -111,7 +111,7 @@
             stored,
         };
         self.events.push_back((now + self.lag, event));
-        if self.events.len() > HISTORY {
+        if self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
--- a/src/embedded/engine/model.rs
+++ b/src/embedded/engine/model.rs
@@ -11,51 +11,51 @@
 /// A sequence to generate.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Job {
-    /// Its identity.
+    /// Identifies the sequence.
     pub id: u64,
-    /// Tokens of the prompt.
+    /// Length of the prompt in tokens.
     pub prompt_tokens: u32,
     /// Blocks of the prompt, for the prefix cache.
     pub blocks: Vec<u64>,
-    /// Tokens of the answer that are there already and have to be computed
-    /// like a prompt.
+    /// Number of tokens of the answer that were generated before; they are prefilled like a prompt.
     pub resume_from: u32,
     /// Length of the whole answer in tokens.
     pub length: u32,
-    /// True for a question; engines ignore it, but for the oracle.
+    /// True for an online question. Only the oracle of the policy benchmark uses it; real engines
+    /// have no such priority.
     pub urgent: bool,
 }
 
-/// A token that was generated.
+/// A generated token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Token {
-    /// When the step that made it ended.
+    /// Time at which its step ended.
     pub at: Time,
-    /// For which sequence.
+    /// Its sequence.
     pub id: u64,
-    /// Its place in the answer.
+    /// Its offset in the answer.
     pub offset: u32,
-    /// True when it is the last one.
+    /// True for the last token of the answer.
     pub last: bool,
 }
 
 #[derive(Clone, Debug)]
 struct Sequence {
     job: Job,
-    done: u32,
+    generated: u32,
     prefill: u32,
     chunk: u32,
-    /// Set aside by the oracle with its memory.
-    aside: bool,
+    /// Suspended by the oracle, keeping its KV memory.
+    suspended: bool,
 }
 
 impl Sequence {
     fn context(&self) -> u64 {
-        u64::from(self.job.prompt_tokens) + u64::from(self.done)
+        u64::from(self.job.prompt_tokens) + u64::from(self.generated)
     }
 }
 
-/// One engine.
+/// The cost model of one engine.
 #[derive(Debug)]
 pub struct Model {
     parameters: Parameters,
@@ -71,7 +71,7 @@
 }
 
 impl Model {
-    /// An idle engine.
+    /// Creates an idle engine.
     pub fn new(parameters: Parameters, seed: u64) -> Self {
         let lag = Duration::from_millis(parameters.event_lag_ms);
         Self {
@@ -88,22 +88,22 @@
         }
     }
 
-    /// Takes a sequence in; the engine queues whatever arrives.
+    /// Adds a sequence. The queue is unbounded.
     pub fn submit(&mut self, now: Time, job: Job) {
-        let done = job.resume_from;
+        let generated = job.resume_from;
         self.waiting.push_back(Sequence {
             job,
-            done,
+            generated,
             prefill: 0,
             chunk: 0,
-            aside: false,
+            suspended: false,
         });
         if self.step_end.is_none() {
             self.start(now);
         }
     }
 
-    /// Drops a sequence; true if it was there.
+    /// Removes a sequence. Returns whether it was present.
     pub fn cancel(&mut self, id: u64) -> bool {
         let before = self.waiting.len() + self.running.len();
         self.waiting.retain(|sequence| sequence.job.id != id);
@@ -111,19 +111,19 @@
         before > self.waiting.len() + self.running.len()
     }
 
-    /// Drops every sequence, as a crash does.
+    /// Removes all sequences, as a crash does.
     pub fn clear(&mut self) {
         self.waiting.clear();
         self.running.clear();
         self.step_end = None;
     }
 
-    /// Makes each step take `factor` times as long.
+    /// Sets the factor by which each step is slowed down.
     pub fn set_slowdown(&mut self, factor: f64) {
         self.slow = factor.max(0.01);
     }
 
-    /// Stops or resumes generating, while the engine goes on taking requests.
+    /// Stops or resumes generation. The engine accepts sequences in either state.
     pub fn set_stalled(&mut self, now: Time, stalled: bool) {
         self.stalled = stalled;
         if !stalled && self.step_end.is_none() {
@@ -131,12 +131,12 @@
         }
     }
 
-    /// When the step under way ends.
+    /// Returns when the current step ends, or `None` if no step runs or the engine is stalled.
     pub fn wake(&self) -> Option<Time> {
         if self.stalled { None } else { self.step_end }
     }
 
-    /// Ends the steps that are due and appends their tokens to `out`.
+    /// Finishes the steps that end by `now` and appends their tokens to `out`.
     pub fn advance(&mut self, now: Time, out: &mut Vec<Token>) {
         while let Some(end) = self.wake() {
             if end > now {
@@ -147,7 +147,7 @@
         }
     }
 
-    /// The load as it was a lag ago.
+    /// Returns the load report, which is `report_lag_ms` old.
     pub fn report(&mut self, now: Time) -> Report {
         let lag = Duration::from_millis(self.parameters.report_lag_ms);
         while self.reports.len() > 1 && self.reports[1].0 + lag <= now {
@@ -159,27 +159,27 @@
         }
     }
 
-    /// Cache events after `sequence`.
+    /// Returns the visible cache events after `sequence`.
     pub fn events(&self, now: Time, sequence: u64) -> Vec<cache::Event> {
         self.cache.events(now, sequence)
     }
 
-    /// Sequences that run or wait.
+    /// Returns the number of running and waiting sequences.
     pub fn len(&self) -> usize {
         self.running.len() + self.waiting.len()
     }
 
-    /// True when nothing runs or waits.
+    /// Returns whether no sequence runs or waits.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Sequences that lost their KV memory and had to start again.
+    /// Returns the number of preemptions: sequences that lost their KV memory and were restarted.
     pub fn preempted(&self) -> u64 {
         self.preempted
     }
 
-    /// Steps that were begun.
+    /// Returns the number of steps started.
     pub fn steps(&self) -> u64 {
         self.steps
     }
@@ -194,11 +194,11 @@
             let Some(next) = self.waiting.front() else {
                 return;
             };
-            if self.is_bounded(next) {
+            if self.is_over_limit(next) {
                 return;
             }
             let need = next.context() + 1;
-            // A sequence that alone is too large still has to end somehow.
+            // A sequence that exceeds KV memory by itself is admitted alone, or it would never end.
             let fits = used + need <= u64::from(self.parameters.kv_tokens);
             if !fits && !self.running.is_empty() {
                 return;
@@ -207,42 +207,42 @@
                 return;
             };
             used += need;
-            if std::mem::take(&mut sequence.aside) {
+            if std::mem::take(&mut sequence.suspended) {
                 self.running.push(sequence);
                 continue;
             }
-            let cached = self.cache.hit(&sequence.job.blocks) * self.parameters.block_tokens;
-            let whole = u32::try_from(sequence.context()).unwrap_or(u32::MAX);
-            sequence.prefill = whole.saturating_sub(cached).max(1);
+            let cached = self.cache.lookup(&sequence.job.blocks) * self.parameters.block_tokens;
+            let context = u32::try_from(sequence.context()).unwrap_or(u32::MAX);
+            sequence.prefill = context.saturating_sub(cached).max(1);
             self.running.push(sequence);
         }
     }
 
-    /// Sets everything aside that is not urgent, so that it is admitted again
-    /// after what is: at no cost, as no engine can.
-    fn set_aside(&mut self) {
+    /// Suspends all sequences that are not urgent, so that the urgent ones are admitted first. This
+    /// is free of cost here, which no real engine achieves.
+    fn suspend_others(&mut self) {
         let (urgent, others): (Vec<_>, Vec<_>) = self.running.drain(..).partition(is_urgent);
         let (mut order, rest): (Vec<_>, Vec<_>) = self.waiting.drain(..).partition(is_urgent);
         self.running = urgent;
         order.extend(others.into_iter().map(|mut sequence| {
-            sequence.aside = true;
+            sequence.suspended = true;
             sequence
         }));
         order.extend(rest);
         self.waiting = order.into();
     }
 
-    /// True when the oracle's bound lets no further sequence in.
-    fn is_bounded(&self, next: &Sequence) -> bool {
-        let most = self.parameters.max_beside_urgent as usize;
-        if next.job.urgent || most > self.running.len() {
+    /// Returns whether the oracle's limit on sequences beside urgent ones excludes `next`.
+    fn is_over_limit(&self, next: &Sequence) -> bool {
+        let limit = self.parameters.max_beside_urgent as usize;
+        if next.job.urgent || limit > self.running.len() {
             return false;
         }
         let urgent = self.running.iter().filter(|s| is_urgent(s)).count();
-        urgent > 0 && self.running.len() - urgent >= most
+        urgent > 0 && self.running.len() - urgent >= limit
     }
 
-    /// The youngest sequences give their memory back until a step fits.
+    /// Preempts the youngest sequences until the next step fits into KV memory.
     fn preempt(&mut self) {
         let limit = u64::from(self.parameters.kv_tokens);
         while self.running.len() > 1 && self.kv_used() + self.running.len() as u64 > limit {
@@ -254,9 +254,9 @@
     }
 
     fn start(&mut self, now: Time) {
-        self.note(now);
+        self.record_report(now);
         if self.parameters.preempts_for_urgent {
-            self.set_aside();
+            self.suspend_others();
         }
         self.preempt();
         self.admit();
@@ -292,9 +292,9 @@
                 sequence.chunk = 0;
                 cache.store(end, &sequence.job.blocks);
             }
-            let offset = sequence.done;
-            sequence.done += 1;
-            let last = sequence.done >= sequence.job.length;
+            let offset = sequence.generated;
+            sequence.generated += 1;
+            let last = sequence.generated >= sequence.job.length;
             out.push(Token {
                 at: end,
                 id: sequence.job.id,
@@ -305,10 +305,10 @@
         });
     }
 
-    fn note(&mut self, now: Time) {
+    fn record_report(&mut self, now: Time) {
         let count = |len: usize| u32::try_from(len).unwrap_or(u32::MAX);
         let used = self.kv_used() as f64 / f64::from(self.parameters.kv_tokens.max(1));
-        #[allow(clippy::cast_possible_truncation)] // A share between 0 and about 1.
+        #[allow(clippy::cast_possible_truncation)] // A fraction between 0 and about 1.
         let report = Report {
             running: count(self.running.len()),
             waiting: count(self.waiting.len()),
--- a/src/embedded/engine/parameter.rs
+++ b/src/embedded/engine/parameter.rs
@@ -1,45 +1,45 @@
-//! The parameters of the cost model, in this one place.
+//! The parameters of the cost model.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// What an engine costs and holds. The defaults stand for a model of some 70
-/// billion parameters on eight accelerators, worked out in
-/// docs/design/engine.md.
+/// Costs and capacity of an engine. The defaults describe a model of about 70 billion parameters on
+/// eight accelerators; docs/design/engine.md derives them.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Parameters {
-    /// Microseconds that every step takes, to read the weights.
+    /// Fixed time of a step in microseconds, for reading the weights.
     pub step_us: f64,
-    /// Microseconds that each decoding sequence adds to a step.
+    /// Time that each decoding sequence adds to a step, in microseconds.
     pub sequence_us: f64,
-    /// Microseconds that each thousand tokens of context add to a step.
+    /// Time that each thousand tokens of context add to a step, in microseconds.
     pub context_us: f64,
-    /// Microseconds that each token of a prompt adds to a step.
+    /// Time that each prefilled token adds to a step, in microseconds.
     pub prefill_us: f64,
-    /// Most tokens of prompts taken into one step.
+    /// Maximum number of prefilled tokens per step.
     pub chunk_tokens: u32,
-    /// Most sequences that run at the same time.
+    /// Maximum number of sequences that run at the same time.
     pub sequences: u32,
-    /// Tokens that fit into KV memory.
+    /// Capacity of KV memory in tokens.
     pub kv_tokens: u32,
-    /// Tokens of one block of the prefix cache.
+    /// Size of a block of the prefix cache in tokens.
     pub block_tokens: u32,
-    /// Blocks that the prefix cache keeps.
+    /// Capacity of the prefix cache in blocks.
     pub cache_blocks: usize,
-    /// True for an engine that knows urgent sequences and sets the others aside
-    /// at no cost. None does; it is the policy benchmark's oracle.
+    /// True if urgent sequences suspend the others at no cost. No real engine does so; it is the
+    /// oracle of the policy benchmark.
     #[serde(rename = "knows_urgent")]
     pub preempts_for_urgent: bool,
-    /// With `preempts_for_urgent`, most others that run while an urgent one does.
+    /// With `preempts_for_urgent`, the maximum number of other sequences that run beside an urgent
+    /// one.
     #[serde(rename = "beside_urgent")]
     pub max_beside_urgent: u32,
-    /// Age of the load report, in milliseconds.
+    /// Age of the load report in milliseconds.
     pub report_lag_ms: u64,
-    /// Age of cache events, in milliseconds.
+    /// Delay of cache events in milliseconds.
     pub event_lag_ms: u64,
-    /// Cache events that get lost, in a hundred.
+    /// Percentage of cache events that are lost.
     pub event_loss: u32,
 }
 
@@ -65,8 +65,7 @@
 }
 
 impl Parameters {
-    /// The same engine with every cost divided by `factor`, for tests that
-    /// should not take long.
+    /// Divides all costs by `factor`, to shorten tests.
     #[must_use]
     pub fn faster(mut self, factor: f64) -> Self {
         self.step_us /= factor;
@@ -76,7 +75,7 @@
         self
     }
 
-    /// Time that a step takes.
+    /// Returns the duration of a step.
     pub fn step(&self, decoding: u32, context: u64, prefill: u32) -> Duration {
         let micros = self.step_us
             + self.sequence_us * f64::from(decoding)
--- a/src/embedded/engine/protocol.rs
+++ b/src/embedded/engine/protocol.rs
@@ -1,27 +1,26 @@
-//! What travels to and from an engine; docs/design/engine.md has examples.
+//! The messages of the engine's HTTP API; docs/design/engine.md has examples.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// `POST /v1/completions`.
+/// Body of `POST /v1/completions`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Completion {
-    /// The model to ask.
+    /// The model that should answer.
     pub model: String,
     /// The text to complete.
     pub prompt: String,
-    /// Length of the whole answer in tokens, those before `resume_from` among
-    /// them.
+    /// Length of the complete answer in tokens, including those before `resume_from`.
     pub max_tokens: u32,
-    /// True for an event stream, false for one body.
+    /// True for an event stream, false for a single event.
     pub stream: bool,
-    /// Names this run, for cancelling and counting.
+    /// Identifies this run, for cancellation and counting.
     pub request_id: String,
-    /// The caller's identity of the request, which the counts show.
+    /// The caller's idempotency key, which the counts show.
     pub key: String,
-    /// Tokens that the caller has already.
+    /// Number of tokens that the caller has received already.
     pub resume_from: u32,
     /// Their text.
     pub resume_text: String,
@@ -40,7 +39,7 @@
     pub tokens: u32,
     /// One choice with the text.
     pub choices: Vec<Choice>,
-    /// Tokens counted so far.
+    /// Token counts so far.
     pub usage: Usage,
 }
 
@@ -51,20 +50,20 @@
     pub index: u32,
     /// The text.
     pub text: String,
-    /// `length` on the last event, else null.
+    /// `length` in the last event, else null.
     pub finish_reason: Option<String>,
 }
 
-/// Tokens counted so far.
+/// Token counts so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Of the prompt.
+    /// Tokens of the prompt.
     pub prompt_tokens: u32,
-    /// Of the answer, those before `resume_from` among them.
+    /// Tokens of the answer, including those before `resume_from`.
     pub completion_tokens: u32,
 }
 
-/// A model that an engine holds.
+/// A model that an engine has loaded.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Model {
@@ -76,44 +75,44 @@
     pub adapters: Vec<String>,
 }
 
-/// `POST /v1/orders` and the answer of `GET /v1/state`.
+/// Body of `POST /v1/orders`, and response of `GET /v1/state`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Order {
-    /// The fencing number.
+    /// The fencing token of the sender's lease.
     pub fence: u64,
-    /// The models to hold.
+    /// The models to load.
     pub hold: Vec<Model>,
     /// The engine's role.
     pub role: String,
 }
 
-/// What a test asks a stand-in for: everything that ever reached it.
+/// Counts of all requests that reached a stand-in, for tests.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
     /// Requests that arrived.
     pub arrived: u64,
-    /// Arrivals by `request_id`.
+    /// Requests by `request_id`.
     pub requests: BTreeMap<String, u64>,
-    /// Arrivals by `key`.
+    /// Requests by `key`.
     pub keys: BTreeMap<String, u64>,
-    /// Arrivals by prompt or body, cut to 64 characters.
+    /// Requests by prompt or body, truncated to 64 characters.
     pub prompts: BTreeMap<String, u64>,
     /// Tokens generated.
     pub tokens: u64,
-    /// Answers that ended whole.
+    /// Completed answers.
     pub completed: u64,
-    /// Runs that were cancelled, or whose reader went away.
+    /// Runs that were cancelled, or whose client disconnected.
     pub cancelled: u64,
-    /// Runs that broke off by a fault.
+    /// Runs that were broken off by a fault.
     pub broken: u64,
-    /// Orders that took effect.
+    /// Orders that were applied.
     pub orders: u64,
 }
 
 impl Counts {
-    /// Counts an arrival.
-    pub fn arrive(&mut self, request: &str, key: &str, text: &str) {
+    /// Counts a request.
+    pub fn add(&mut self, request: &str, key: &str, text: &str) {
         self.arrived += 1;
         let text: String = text.chars().take(64).collect();
         for (map, name) in [
--- a/src/embedded/engine/server.rs
+++ b/src/embedded/engine/server.rs
@@ -1,5 +1,5 @@
-//! The engine over HTTP: completions as event streams, load, cache events,
-//! orders, and the faults and counts that tests ask for.
+//! The engine's HTTP server: completions as event streams, load, cache events, orders, and the
+//! faults and counts for tests.
 
 use std::cell::RefCell;
 use std::net::TcpListener;
@@ -21,24 +21,24 @@
 use crate::http;
 use crate::name::Name;
 
-/// Longest body that is read, in bytes.
-const MAX_BODY: usize = 4 * 1024 * 1024;
+/// Maximum size of a request body.
+const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 const JSON: &str = "application/json";
 
-/// How an engine is set up.
+/// Settings of an engine.
 #[derive(Clone, Debug)]
 pub struct Setting {
     /// Its name, for the log.
     pub name: Name,
-    /// What it costs and holds.
+    /// Its costs and capacity.
     pub parameters: Parameters,
-    /// Seed of what is random about it: which cache events get lost.
+    /// Seed of the random choice of the cache events that are lost.
     pub seed: u64,
-    /// True when it refuses an order whose fencing number is below the last.
+    /// True if it refuses an order whose fencing token is lower than that of the last order.
     pub checks_fencing: bool,
-    /// The faults that it starts with.
+    /// The initial faults.
     pub fault: Fault,
-    /// True when a crash ends the process; an embedded engine answers 503.
+    /// True if a crash ends the process; an embedded engine responds with 503 instead.
     pub exit_on_crash: bool,
 }
 
@@ -55,7 +55,7 @@
     }
 }
 
-/// What the handlers and the driver of one engine share.
+/// State shared by the request handlers and the driver of an engine.
 struct Shared {
     clock: Clock,
     state: RefCell<State>,
@@ -65,7 +65,7 @@
 /// Serves an engine until `stop` turns true and its connections have ended.
 ///
 /// # Errors
-/// When the socket can't be registered with this thread's runtime.
+/// Fails if the socket can't be registered with this thread's runtime.
 pub async fn serve(
     listener: TcpListener,
     stop: watch::Receiver<bool>,
@@ -85,7 +85,7 @@
     }
 }
 
-/// Ends the model's steps when they are due.
+/// Advances the model at the end of each step.
 async fn drive(shared: Rc<Shared>) {
     loop {
         let wake = shared.state.borrow().wake();
@@ -107,7 +107,7 @@
 
 async fn handle(shared: Rc<Shared>, mut request: Request) -> Response<BoxBody> {
     if shared.state.borrow().crashed() {
-        return problem(StatusCode::SERVICE_UNAVAILABLE, "the engine has crashed");
+        return error_reply(StatusCode::SERVICE_UNAVAILABLE, "the engine has crashed");
     }
     let now = shared.clock.now();
     let path = request.path().to_owned();
@@ -122,36 +122,36 @@
         (Method::GET, "/counts") => json(StatusCode::OK, shared.state.borrow().counts()),
         (Method::POST, "/v1/completions") => match read(&mut request).await {
             Ok(completion) => complete(shared, completion).await,
-            Err(refused) => refused,
+            Err(response) => response,
         },
         (Method::POST, "/v1/orders") => match read::<Order>(&mut request).await {
-            Ok(order) => obey(&shared, order),
-            Err(refused) => refused,
+            Ok(order) => apply_order(&shared, order),
+            Err(response) => response,
         },
         (Method::POST, "/fault") => match read::<Fault>(&mut request).await {
             Ok(fault) => {
-                shared.state.borrow_mut().fault(now, fault);
+                shared.state.borrow_mut().set_fault(now, fault);
                 shared.changed.notify_one();
                 json(StatusCode::OK, &"ok")
             }
-            Err(refused) => refused,
+            Err(response) => response,
         },
         (Method::DELETE, path) => cancel(&shared, path),
-        _ => problem(StatusCode::NOT_FOUND, "there is no such path"),
+        _ => error_reply(StatusCode::NOT_FOUND, "there is no such path"),
     }
 }
 
 async fn complete(shared: Rc<Shared>, completion: Completion) -> Response<BoxBody> {
     let stream = completion.stream;
     let now: Time = shared.clock.now();
-    let begun = shared.state.borrow_mut().begin(now, completion);
-    let receiver = match begun {
+    let admitted = shared.state.borrow_mut().begin(now, completion);
+    let run = match admitted {
         Ok(run) => run,
-        Err((status, message)) => return problem(status, message),
+        Err((status, message)) => return error_reply(status, message),
     };
     shared.changed.notify_one();
     let weak = Rc::downgrade(&shared);
-    let mut answer = Answer::new(receiver, move |id| {
+    let mut answer = Answer::new(run, move |id| {
         if let Some(shared) = weak.upgrade() {
             shared.state.borrow_mut().cancel(id);
             shared.changed.notify_one();
@@ -164,14 +164,14 @@
             .body(BodyStream::new(answer))
             .map_into_boxed_body();
     }
-    match answer.whole().await {
+    match answer.read_all().await {
         Some(event) => json(StatusCode::OK, &event),
-        None => problem(StatusCode::INTERNAL_SERVER_ERROR, "the run broke off"),
+        None => error_reply(StatusCode::INTERNAL_SERVER_ERROR, "the run broke off"),
     }
 }
 
-fn obey(shared: &Shared, order: Order) -> Response<BoxBody> {
-    match shared.state.borrow_mut().obey(order) {
+fn apply_order(shared: &Shared, order: Order) -> Response<BoxBody> {
+    match shared.state.borrow_mut().apply_order(order) {
         Ok(order) => json(StatusCode::OK, &order),
         Err(fence) => json(
             StatusCode::CONFLICT,
@@ -181,14 +181,14 @@
 }
 
 fn cancel(shared: &Shared, path: &str) -> Response<BoxBody> {
-    let Some(name) = path.strip_prefix("/v1/completions/") else {
-        return problem(StatusCode::NOT_FOUND, "there is no such path");
+    let Some(request_id) = path.strip_prefix("/v1/completions/") else {
+        return error_reply(StatusCode::NOT_FOUND, "there is no such path");
     };
-    if shared.state.borrow_mut().cancel_named(name) {
+    if shared.state.borrow_mut().cancel_request(request_id) {
         shared.changed.notify_one();
         return json(StatusCode::OK, &"cancelled");
     }
-    problem(StatusCode::NOT_FOUND, "there is no such run")
+    error_reply(StatusCode::NOT_FOUND, "there is no such run")
 }
 
 /// The number in a query of the form `after=7`, else 0.
@@ -204,11 +204,11 @@
     B: DeserializeOwned,
 {
     let mut payload = request.take_payload();
-    let bytes = http::read_body(&mut payload, MAX_BODY)
+    let bytes = http::read_body(&mut payload, MAX_BODY_BYTES)
         .await
-        .map_err(|error| problem(StatusCode::PAYLOAD_TOO_LARGE, &error.to_string()))?;
+        .map_err(|error| error_reply(StatusCode::PAYLOAD_TOO_LARGE, &error.to_string()))?;
     serde_json::from_slice(&bytes)
-        .map_err(|error| problem(StatusCode::BAD_REQUEST, &error.to_string()))
+        .map_err(|error| error_reply(StatusCode::BAD_REQUEST, &error.to_string()))
 }
 
 fn json<B>(status: StatusCode, body: &B) -> Response<BoxBody>
@@ -219,6 +219,6 @@
     http::reply(status, JSON, Bytes::from(bytes))
 }
 
-fn problem(status: StatusCode, message: &str) -> Response<BoxBody> {
+fn error_reply(status: StatusCode, message: &str) -> Response<BoxBody> {
     json(status, &serde_json::json!({ "error": message }))
 }
--- a/src/embedded/engine/state.rs
+++ b/src/embedded/engine/state.rs
@@ -1,4 +1,4 @@
-//! The runs of a served engine and what a test may ask about them.
+//! The state of a served engine: its runs, faults, orders and counts.
 
 use std::collections::HashMap;
 
@@ -13,10 +13,10 @@
 use crate::clock::Time;
 use crate::dispatch::Report;
 
-/// Exit code of a process that a fault crashed.
-const CRASHED: i32 = 101;
+/// Exit code of a process that was crashed by a fault.
+const CRASH_EXIT_CODE: i32 = 101;
 
-/// A stream was broken by a fault.
+/// The error of a stream that was broken by a fault.
 #[derive(Clone, Copy, Debug)]
 pub struct Broken;
 
@@ -35,76 +35,79 @@
     events: mpsc::UnboundedSender<Result<Event, Broken>>,
 }
 
-/// A run that was admitted and the events it will bring.
-pub struct Begun {
-    /// The run's identity at the engine.
+/// An admitted run and its events.
+pub struct Handle {
+    /// Identifies the run within the engine.
     pub id: u64,
     /// Its events; the channel closes after the last one.
     pub events: mpsc::UnboundedReceiver<Result<Event, Broken>>,
 }
 
-/// A served engine.
+/// The state of a served engine.
 pub struct State {
     setting: Setting,
     model: Model,
     fault: Fault,
     crashed: bool,
     runs: HashMap<u64, Run>,
-    next: u64,
+    last_id: u64,
     counts: Counts,
     order: Order,
 }
 
 impl State {
-    /// An idle engine with the faults of its setting in force.
+    /// Creates an idle engine with the initial faults of `setting`.
     pub fn new(now: Time, setting: Setting) -> Self {
         let mut state = Self {
             model: Model::new(setting.parameters, setting.seed),
             fault: Fault::default(),
             crashed: false,
             runs: HashMap::new(),
-            next: 0,
+            last_id: 0,
             counts: Counts::default(),
             order: Order::default(),
             setting,
         };
         let fault = state.setting.fault.clone();
-        state.fault(now, fault);
+        state.set_fault(now, fault);
         state
     }
 
-    /// True after a crash that the process survived.
+    /// Returns whether an embedded engine has crashed.
     pub fn crashed(&self) -> bool {
         self.crashed
     }
 
-    /// When [`State::advance`] is due.
+    /// Returns when [`State::advance`] has to be called next.
     pub fn wake(&self) -> Option<Time> {
         self.model.wake()
     }
 
-    /// The lagging report.
+    /// Returns the load report, which is `report_lag_ms` old.
     pub fn report(&mut self, now: Time) -> Report {
         self.model.report(now)
     }
 
-    /// Cache events after `sequence`.
+    /// Returns the visible cache events after `sequence`.
     pub fn events(&self, now: Time, sequence: u64) -> Vec<cache::Event> {
         self.model.events(now, sequence)
     }
 
-    /// The order in force.
+    /// Returns the last order that was applied.
     pub fn order(&self) -> &Order {
         &self.order
     }
 
-    /// What ever reached the engine.
+    /// Returns the counts since the start.
     pub fn counts(&self) -> &Counts {
         &self.counts
     }
 
-    /// Takes an order, or tells the newer fencing number that forbids it.
-    pub fn obey(&mut self, order: Order) -> Result<Order, u64> {
+    /// Applies an order.
+    ///
+    /// # Errors
+    /// Returns the higher fencing token that was applied before, if the engine checks fencing.
+    pub fn apply_order(&mut self, order: Order) -> Result<Order, u64> {
         if self.setting.checks_fencing && order.fence < self.order.fence {
             return Err(self.order.fence);
         }
@@ -113,8 +116,8 @@
         Ok(self.order.clone())
     }
 
-    /// Puts other faults in force.
-    pub fn fault(&mut self, now: Time, fault: Fault) {
+    /// Replaces the faults.
+    pub fn set_fault(&mut self, now: Time, fault: Fault) {
         let factor = if fault.slow > 0.0 { fault.slow } else { 1.0 };
         self.model.set_slowdown(factor);
         self.model.set_stalled(now, fault.stall);
@@ -124,24 +127,27 @@
         }
     }
 
-    /// Starts a run, or tells why not.
+    /// Starts a run.
+    ///
+    /// # Errors
+    /// Returns the status and message of the response that refuses it.
     pub fn begin(
         &mut self,
         now: Time,
         completion: Completion,
-    ) -> Result<Begun, (StatusCode, &'static str)> {
+    ) -> Result<Handle, (StatusCode, &'static str)> {
         let Completion {
             request_id, key, ..
         } = &completion;
-        self.counts.arrive(request_id, key, &completion.prompt);
+        self.counts.add(request_id, key, &completion.prompt);
         if self.fault.refuse {
             return Err((StatusCode::SERVICE_UNAVAILABLE, "the engine refuses work"));
         }
-        if self.fault.dies(&completion.prompt) {
+        if self.fault.is_crashing(&completion.prompt) {
             self.crash();
             return Err((StatusCode::SERVICE_UNAVAILABLE, "the engine has crashed"));
         }
-        if self.fault.errs(&completion.prompt) {
+        if self.fault.is_failing(&completion.prompt) {
             return Err((StatusCode::INTERNAL_SERVER_ERROR, "this prompt fails"));
         }
         let from = completion.resume_from;
@@ -154,9 +160,9 @@
         Ok(self.admit(now, completion))
     }
 
-    fn admit(&mut self, now: Time, completion: Completion) -> Begun {
-        self.next += 1;
-        let id = self.next;
+    fn admit(&mut self, now: Time, completion: Completion) -> Handle {
+        self.last_id += 1;
+        let id = self.last_id;
         let prompt_tokens = count_tokens(&completion.prompt);
         let job = Job {
             id,
@@ -175,13 +181,13 @@
         };
         self.runs.insert(id, run);
         self.model.submit(now, job);
-        Begun {
+        Handle {
             id,
             events: receiver,
         }
     }
 
-    /// Ends the steps that are due and sends their tokens.
+    /// Finishes the steps that end by `now` and sends their tokens.
     pub fn advance(&mut self, now: Time) {
         let mut tokens = Vec::new();
         self.model.advance(now, &mut tokens);
@@ -190,7 +196,7 @@
         }
     }
 
-    /// Drops a run; true if it was there.
+    /// Cancels a run. Returns whether it was present.
     pub fn cancel(&mut self, id: u64) -> bool {
         self.model.cancel(id);
         let found = self.runs.remove(&id).is_some();
@@ -198,12 +204,12 @@
         found
     }
 
-    /// Drops the runs of that `request_id`; true if there were any.
-    pub fn cancel_named(&mut self, name: &str) -> bool {
+    /// Cancels the runs with this `request_id`. Returns whether there were any.
+    pub fn cancel_request(&mut self, request_id: &str) -> bool {
         let ids: Vec<u64> = self
             .runs
             .iter()
-            .filter(|(_, run)| run.completion.request_id == name)
+            .filter(|(_, run)| run.completion.request_id == request_id)
             .map(|(id, _)| *id)
             .collect();
         for id in &ids {
@@ -233,7 +239,7 @@
 
     fn crash(&mut self) {
         if self.setting.exit_on_crash {
-            std::process::exit(CRASHED);
+            std::process::exit(CRASH_EXIT_CODE);
         }
         self.crashed = true;
         self.model.clear();
@@ -245,20 +251,20 @@
 }
 
 impl Run {
-    fn event(&self, made: &Token) -> Event {
+    fn event(&self, generated: &Token) -> Event {
         Event {
             id: self.completion.request_id.clone(),
             object: "text_completion".to_owned(),
-            offset: made.offset,
+            offset: generated.offset,
             tokens: 1,
             choices: vec![Choice {
                 index: 0,
-                text: token(&self.completion.prompt, made.offset),
-                finish_reason: made.last.then(|| "length".to_owned()),
+                text: token(&self.completion.prompt, generated.offset),
+                finish_reason: generated.last.then(|| "length".to_owned()),
             }],
             usage: Usage {
                 prompt_tokens: self.prompt_tokens,
-                completion_tokens: made.offset + 1,
+                completion_tokens: generated.offset + 1,
             },
         }
     }
--- a/src/embedded/plain.rs
+++ b/src/embedded/plain.rs
@@ -1,5 +1,5 @@
-//! A stand-in plain service: it echoes a call's body and counts what reached
-//! it, so that a test can tell that nothing ran twice or after a refusal.
+//! A stand-in plain service, which echoes the body of a call. It counts the calls, so that a test
+//! can check that nothing ran twice or after a refusal.
 
 use std::cell::RefCell;
 use std::net::TcpListener;
@@ -15,21 +15,21 @@
 use super::engine::protocol::Counts;
 use crate::http;
 
-/// Headers that may carry the caller's key of a call, in order of preference.
+/// Headers that may carry the caller's idempotency key, in order of precedence.
 const KEY_HEADERS: [&str; 2] = ["idempotency-key", "x-request-key"];
-/// Longest body that is read, in bytes.
-const MAX_BODY: usize = 4 * 1024 * 1024;
+/// Maximum size of a request body.
+const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 const JSON: &str = "application/json";
 
-/// The faults in force. `POST /fault` replaces them all.
+/// The injected faults. `POST /fault` replaces them all.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Fault {
-    /// Milliseconds before a call is answered.
+    /// Delay before the response to a call, in milliseconds.
     pub delay_ms: u64,
-    /// Calls are answered with this HTTP status; 0 is no fault.
+    /// HTTP status of the responses; 0 is no fault.
     pub status: u16,
-    /// The call takes effect, but its answer is lost.
+    /// Calls are counted, but their responses are never sent.
     pub lose_answer: bool,
 }
 
@@ -42,7 +42,7 @@
 /// Serves until `stop` turns true and the connections have ended.
 ///
 /// # Errors
-/// When the socket can't be registered with this thread's runtime.
+/// Fails if the socket can't be registered with this thread's runtime.
 pub async fn serve(listener: TcpListener, stop: watch::Receiver<bool>) -> std::io::Result<()> {
     let state = Rc::new(RefCell::new(State::default()));
     http::serve(listener, stop, move |request| {
@@ -67,17 +67,17 @@
         .unwrap_or_default()
         .to_owned();
     let mut payload = request.take_payload();
-    let body = match http::read_body(&mut payload, MAX_BODY).await {
+    let body = match http::read_body(&mut payload, MAX_BODY_BYTES).await {
         Ok(body) => body,
         Err(error) => return http::reply(StatusCode::BAD_REQUEST, JSON, error.to_string()),
     };
     if path == "/fault" {
-        return control(&state, &body);
+        return set_fault(&state, &body);
     }
     call(&state, &key, body).await
 }
 
-fn control(state: &RefCell<State>, body: &Bytes) -> Response<BoxBody> {
+fn set_fault(state: &RefCell<State>, body: &Bytes) -> Response<BoxBody> {
     match serde_json::from_slice(body) {
         Ok(fault) => {
             state.borrow_mut().fault = fault;
@@ -91,7 +91,7 @@
     let fault = {
         let mut state = state.borrow_mut();
         let text = String::from_utf8_lossy(&body);
-        state.counts.arrive("", key, &text);
+        state.counts.add("", key, &text);
         state.fault.clone()
     };
     if fault.delay_ms > 0 {
--- a/src/embedded/platform.rs
+++ b/src/embedded/platform.rs
@@ -1,8 +1,7 @@
-//! The stand-in platform as an HTTP server.
+//! HTTP server of the stand-in platform.
 //!
-//! `POST /call` carries the operations, `POST /fault` takes a
-//! [`Command`] as JSON and `GET /counts` answers what was asked so far, so that
-//! tests can bring about faults and bound the number of operations.
+//! `POST /call` runs an operation. For tests, `POST /fault` injects the fault of a [`Command`] in
+//! JSON, and `GET /counts` returns the number of operations so far.
 
 use std::io;
 use std::net::TcpListener;
@@ -24,13 +23,13 @@
 const CBOR: &str = "application/cbor";
 const JSON: &str = "application/json";
 const TEXT: &str = "text/plain";
-/// A command is far smaller than this.
-const MAX_COMMAND: usize = 64 * 1024;
+/// Maximum size of a fault command; real ones are far smaller.
+const MAX_COMMAND_BYTES: usize = 64 * 1024;
 
 /// Serves `platform` on `listener` until `stop` turns true.
 ///
 /// # Errors
-/// When the socket can't be registered with this thread's runtime.
+/// Fails if the socket can't be registered with this thread's runtime.
 pub async fn serve(
     platform: Platform,
     listener: TcpListener,
@@ -52,7 +51,7 @@
             Ok(body) => call(platform, &body).await,
             Err(error) => http::reply(StatusCode::BAD_REQUEST, TEXT, error.to_string()),
         },
-        (Method::POST, FAULT_PATH) => match http::read_body(&mut body, MAX_COMMAND).await {
+        (Method::POST, FAULT_PATH) => match http::read_body(&mut body, MAX_COMMAND_BYTES).await {
             Ok(body) => command(platform, &body),
             Err(error) => http::reply(StatusCode::BAD_REQUEST, TEXT, error.to_string()),
         },
@@ -71,7 +70,7 @@
     };
     let answer = platform.call(call).await;
     if answer == Err(Fault::Unknown) {
-        return lost();
+        return truncated();
     }
     encode(&answer)
 }
@@ -84,12 +83,12 @@
     }
 }
 
-/// An answer that breaks off, as when the platform's connection is cut after
-/// the change took effect.
-fn lost() -> Response<BoxBody> {
-    let broken = stream::iter([Err::<Bytes, _>(io::Error::other("injected loss"))]);
+/// A truncated response, as when the connection to the platform is cut after the change took
+/// effect.
+fn truncated() -> Response<BoxBody> {
+    let body = stream::iter([Err::<Bytes, _>(io::Error::other("injected loss"))]);
     Response::build(StatusCode::OK)
-        .body(BodyStream::new(broken))
+        .body(BodyStream::new(body))
         .map_into_boxed_body()
 }
 
--- a/tests/engine_model.rs
+++ b/tests/engine_model.rs
@@ -49,8 +49,8 @@
 
 #[gtest]
 fn prefill_delays_decode() {
-    // A long prompt arrives while an answer is generated; its chunks lengthen
-    // the steps between the answer's tokens.
+    // A long prompt arrives during a decode. Its prefill chunks lengthen the steps, and with them
+    // the intervals between the answer's tokens.
     let mut model = Model::new(Parameters::default(), SEED);
     model.submit(Time::ZERO, job(1, 10, 40));
     let mut out = Vec::new();
@@ -70,8 +70,8 @@
 
 #[gtest]
 fn memory_preempts_youngest() {
-    // Sequences grow beyond KV memory. The youngest loses its memory and starts
-    // again, and every answer still ends whole.
+    // Sequences outgrow KV memory. The youngest is preempted and restarted, and every answer is
+    // still complete.
     let parameters = Parameters {
         kv_tokens: 300,
         ..Parameters::default()
@@ -99,7 +99,7 @@
     let parameters = Parameters::default();
     let blocks = blocks(&prompt, parameters.block_tokens);
     let mut model = Model::new(parameters, SEED);
-    let mut took = || {
+    let mut latency = || {
         let start = Time::from_millis(10_000 * (model.steps() + 1));
         model.submit(
             start,
@@ -110,8 +110,8 @@
         );
         last_at(&drain(&mut model), 1).since(start)
     };
-    let cold = took();
-    expect_that!(took() * 2, lt(cold));
+    let cold = latency();
+    expect_that!(latency() * 2, lt(cold));
 }
 
 #[gtest]
--- a/tests/engine_plain.rs
+++ b/tests/engine_plain.rs
@@ -1,4 +1,4 @@
-//! The stand-in plain service over HTTP.
+//! Calls the stand-in plain service over HTTP.
 
 use std::time::Duration;
 
--- a/tests/engine_serve.rs
+++ b/tests/engine_serve.rs
@@ -1,4 +1,4 @@
-//! The stand-in engine over HTTP.
+//! Calls the stand-in engine over HTTP.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,8 +11,8 @@
 use googletest::prelude::*;
 use tokio::sync::watch;
 
-const FASTER: f64 = 20.0;
-const BOUND: usize = 1_000_000;
+const SPEED_UP: f64 = 20.0;
+const MAX_BODY_BYTES: usize = 1_000_000;
 
 struct Env {
     address: SocketAddr,
@@ -26,7 +26,7 @@
         let address = listener.local_addr().unwrap();
         let (stop, stopped) = watch::channel(false);
         let setting = Setting {
-            parameters: Parameters::default().faster(FASTER),
+            parameters: Parameters::default().faster(SPEED_UP),
             ..setting
         };
         actix_rt::spawn(engine::serve(listener, stopped, setting));
@@ -44,25 +44,25 @@
     async fn ask(&self, completion: &Completion) -> (u16, Vec<Event>, bool) {
         let url = self.url("/v1/completions");
         let mut answer = self.client.post(url).send_json(completion).await.unwrap();
-        let (mut text, mut whole) = (Vec::new(), true);
+        let (mut text, mut is_complete) = (Vec::new(), true);
         while let Some(part) = answer.next().await {
             match part {
                 Ok(part) => text.extend_from_slice(&part),
-                Err(_) => whole = false,
+                Err(_) => is_complete = false,
             }
         }
         let text = String::from_utf8(text).unwrap();
-        whole &= text.ends_with("data: [DONE]\n\n");
+        is_complete &= text.ends_with("data: [DONE]\n\n");
         let events = text
             .lines()
             .filter_map(|line| serde_json::from_str(line.strip_prefix("data: ")?).ok())
             .collect();
-        (answer.status().as_u16(), events, whole)
+        (answer.status().as_u16(), events, is_complete)
     }
 
     async fn counts(&self) -> Counts {
         let mut answer = self.client.get(self.url("/counts")).send().await.unwrap();
-        let body = http::read_body(&mut answer, BOUND).await.unwrap();
+        let body = http::read_body(&mut answer, MAX_BODY_BYTES).await.unwrap();
         serde_json::from_slice(&body).unwrap()
     }
 
@@ -100,8 +100,8 @@
 fn complete_whole() {
     run(async {
         let env = Env::start(Setting::default());
-        let (status, events, whole) = env.ask(&question("is it screened?", 12)).await;
-        expect_that!((status, whole), eq((200, true)));
+        let (status, events, is_complete) = env.ask(&question("is it screened?", 12)).await;
+        expect_that!((status, is_complete), eq((200, true)));
         expect_that!(text(&events), eq(&engine::answer("is it screened?", 12)));
         let offsets: Vec<u32> = events.iter().map(|event| event.offset).collect();
         expect_that!(offsets, eq(&(0..12).collect::<Vec<_>>()));
@@ -110,9 +110,8 @@
 
 #[gtest]
 fn complete_resumed() {
-    // A stream breaks after four tokens, the last of which may be lost on the
-    // way; the caller asks for the rest. The two parts together must be the
-    // answer that an unbroken stream gives.
+    // A stream breaks after four tokens, the last of which may be lost in transit. The caller
+    // resumes it. Both parts joined must equal the answer of an unbroken stream.
     run(async {
         let env = Env::start(Setting::default());
         let fault = Fault {
@@ -120,17 +119,17 @@
             ..Fault::default()
         };
         expect_that!(env.post("/fault", &fault).await, eq(200));
-        let (_, first, whole) = env.ask(&question("scale it", 9)).await;
+        let (_, first, is_complete) = env.ask(&question("scale it", 9)).await;
         expect_that!(first.len(), all!(ge(1), le(4)));
-        expect_false!(whole);
+        expect_false!(is_complete);
         expect_that!(env.post("/fault", &Fault::default()).await, eq(200));
         let rest = Completion {
             resume_from: u32::try_from(first.len()).unwrap(),
             resume_text: text(&first),
             ..question("scale it", 9)
         };
-        let (_, second, whole) = env.ask(&rest).await;
-        expect_true!(whole);
+        let (_, second, is_complete) = env.ask(&rest).await;
+        expect_true!(is_complete);
         let joined = text(&first) + &text(&second);
         expect_that!(joined, eq(&engine::answer("scale it", 9)));
         expect_that!(env.counts().await.requests["r1"], eq(2));
@@ -138,9 +137,9 @@
 }
 
 #[gtest]
-fn complete_reader_gone() {
-    // A caller goes away in the middle of an answer. Were the run not cancelled,
-    // the engine would go on generating for nobody.
+fn complete_caller_disconnected() {
+    // A caller disconnects in the middle of an answer. The run must be cancelled, or the engine
+    // would keep generating an answer that is never read.
     run(async {
         let env = Env::start(Setting::default());
         let url = env.url("/v1/completions");
@@ -169,15 +168,14 @@
             let answer = env.client.delete(url).send().await.unwrap();
             answer.status().as_u16()
         };
-        let ((_, _, whole), status) = futures_util::join!(env.ask(&long), cancel);
-        expect_that!((whole, status), eq((false, 200)));
+        let ((_, _, is_complete), status) = futures_util::join!(env.ask(&long), cancel);
+        expect_that!((is_complete, status), eq((false, 200)));
     });
 }
 
 #[gtest]
 fn fault_marked_prompts() {
-    // An item that can never be completed gets an error each time, and another
-    // kills the engine that runs it.
+    // One marked prompt fails with an error every time; the other crashes the engine that runs it.
     run(async {
         let env = Env::start(Setting {
             fault: Fault {
@@ -197,8 +195,8 @@
 
 #[gtest]
 fn orders_old_fence() {
-    // A holder of a lease was paused and sends its order after its successor's.
-    // An engine that checks keeps the successor's; one that does not takes it.
+    // A paused lease holder sends its order after its successor's. An engine that checks fencing
+    // refuses the late order; another one applies it.
     run(async {
         for (checks_fencing, status) in [(true, 409), (false, 200)] {
             let env = Env::start(Setting {
--- a/tests/support/env.rs
+++ b/tests/support/env.rs
@@ -1,5 +1,5 @@
-//! The environment of the process-level tests: a platform, endpoints and nodes
-//! as real processes on loopback, and a client that speaks JSON to them.
+//! Environment of the process-level tests: a platform, endpoints and nodes as real processes on
+//! loopback, and a client that calls them in JSON.
 
 #![allow(dead_code)] // Each test file uses a part of it.
 
@@ -11,19 +11,19 @@
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
 
-/// How long a condition may take before a test gives up. It bounds a hang and
-/// decides nothing else.
+/// Time-out of a condition, after which a test fails. It only ends tests that hang; no result
+/// depends on its value.
 pub const CONDITION_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A process that a test started; it is killed, by its id, when dropped.
 pub struct Process {
     child: Child,
-    /// The line that it printed when it listened.
+    /// The line with its addresses, printed once it listens.
     pub line: String,
 }
 
 impl Process {
-    /// Starts a program and waits for the line that says where it listens.
+    /// Starts a program and waits until it prints the line with its addresses.
     pub fn start(program: &Path, arguments: &[&str]) -> Self {
         let mut child = Command::new(program)
             .args(arguments)
@@ -39,12 +39,12 @@
             let read = reader.read_line(&mut line).expect("stdout can be read");
             assert!(read > 0, "{} ended early", program.display());
         }
-        // The pipe stays open and is drained, so that the process can print.
+        // Drains the pipe: a process whose standard output is closed or full could not print.
         std::thread::spawn(move || std::io::copy(&mut reader, &mut std::io::sink()));
         Self { child, line }
     }
 
-    /// The address that follows `key=` in the line, or the only one in it.
+    /// Returns the address after `key=` in the line, or the second word if there is no such key.
     pub fn address(&self, key: &str) -> String {
         let mark = format!("{key}=");
         self.line
@@ -55,7 +55,7 @@
             .to_owned()
     }
 
-    /// Its id, to read what the kernel says of it.
+    /// Returns its process id, for reading its kernel statistics.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
@@ -66,23 +66,23 @@
         let _ = kill_process(pid, signal);
     }
 
-    /// Kills it at once, as a lost VM.
+    /// Kills the process without a shutdown, as a lost VM.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Freezes it, as a paused VM.
+    /// Suspends the process, as a paused VM.
     pub fn pause(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// Thaws it.
+    /// Resumes a suspended process.
     pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Waits for it to end by itself and returns its exit code.
+    /// Waits until the process exits and returns its exit code.
     pub fn wait(&mut self) -> Option<i32> {
         let start = Instant::now();
         while start.elapsed() < CONDITION_TIMEOUT {
@@ -102,7 +102,7 @@
     }
 }
 
-/// A fleet of processes and a folder for their settings.
+/// A fleet of processes, with a folder for their settings.
 pub struct Fleet {
     folder: tempfile::TempDir,
     pub platform: Process,
@@ -111,12 +111,12 @@
     pub nodes: Vec<Process>,
 }
 
-/// The program under test.
+/// Returns the path of the program under test.
 pub fn auburnspoke() -> PathBuf {
     PathBuf::from(env!("CARGO_BIN_EXE_auburnspoke"))
 }
 
-/// The stand-ins' program, which is built beside it.
+/// Returns the path of the program of the stand-ins, which is built into the same folder.
 pub fn standin() -> PathBuf {
     let path = auburnspoke().with_file_name("standin");
     assert!(
@@ -128,12 +128,12 @@
 }
 
 impl Fleet {
-    /// Starts a platform alone.
+    /// Starts a fleet that consists of a platform.
     pub fn new() -> Self {
         Self::with_platform(&["--lag-ms", "200"])
     }
 
-    /// Starts a platform alone, with arguments of its own.
+    /// Starts a fleet that consists of a platform with the given arguments.
     pub fn with_platform(arguments: &[&str]) -> Self {
         let mut all = vec!["platform", "--listen", "127.0.0.1:0"];
         all.extend(arguments);
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Starts an engine with the stand-in's arguments, as `["--faster", "20"]`.
+    /// Starts an engine with arguments of the stand-in, such as `["--faster", "20"]`.
     pub fn engine(&mut self, arguments: &[&str]) -> &mut Self {
         let mut all = vec!["engine", "--listen", "127.0.0.1:0"];
         all.extend(arguments);
@@ -169,7 +169,7 @@
         self
     }
 
-    /// Starts a node without keeping it, for tests that restart one. `more` stands
+    /// Starts a node that is not added to the fleet, for tests that restart one. `more` is written
     /// before its other settings.
     pub fn start_node(&self, name: &str, zone: &str, listen: &str, more: &str) -> Process {
         let path = self.folder.path().join(format!("{name}.toml"));
@@ -184,13 +184,13 @@
         Process::start(&auburnspoke(), &["serve", "--settings", path])
     }
 
-    /// Commits a configuration with one model service over all engines and one
-    /// plain service, and waits until every node has it in force.
+    /// Commits a configuration with one model service on all engines and one plain service, and
+    /// waits until every node is ready.
     pub fn configure(&self) {
         self.configure_with(&json!({}));
     }
 
-    /// The same, with fields of the model service that differ.
+    /// Does the same as [`Self::configure`], with the given fields of the model service replaced.
     pub fn configure_with(&self, service: &Value) {
         let mut model = json!({
             "name": "recipes", "kind": "SERVICE_KIND_MODEL", "model": "recipe-model", "modelVersion": "1",
@@ -222,9 +222,9 @@
         let apply = json!({ "expectVersion": 0, "config": config, "author": "test" });
         let start = Instant::now();
         while let Err(error) = self.operator(0, "ApplyConfig", &apply) {
-            let wrong = refusal(&error)["reason"] == "REASON_INVALID";
+            let is_invalid = refusal(&error)["reason"] == "REASON_INVALID";
             assert!(
-                !wrong && start.elapsed() < CONDITION_TIMEOUT,
+                !is_invalid && start.elapsed() < CONDITION_TIMEOUT,
                 "not accepted: {error}"
             );
             std::thread::sleep(Duration::from_millis(50));
@@ -236,7 +236,7 @@
         }
     }
 
-    /// Waits until every node sees `count` usable members.
+    /// Waits until every node lists `count` members.
     pub fn await_members(&self, count: usize) {
         for node in 0..self.nodes.len() {
             until("the nodes see each other", || {
@@ -246,19 +246,19 @@
         }
     }
 
-    /// Calls a method for callers at a node.
+    /// Calls a method of the caller API at a node.
     ///
     /// # Errors
-    /// The error body, or null when the node can't be reached.
+    /// Returns the error body, or null if the node is unreachable.
     pub fn caller(&self, node: usize, method: &str, body: &Value) -> Result<Value, Value> {
         let address = self.nodes[node].address("callers");
         call(&address, &format!("/auburnspoke.v1.Caller/{method}"), body)
     }
 
-    /// Calls a method for operators at a node.
+    /// Calls a method of the operator API at a node.
     ///
     /// # Errors
-    /// The error body, or null when the node can't be reached.
+    /// Returns the error body, or null if the node is unreachable.
     pub fn operator(&self, node: usize, method: &str, body: &Value) -> Result<Value, Value> {
         let address = self.nodes[node].address("callers");
         call(
@@ -268,7 +268,7 @@
         )
     }
 
-    /// Gives the platform a fault.
+    /// Injects a fault into the platform.
     pub fn platform_fault(&self, command: &Value) {
         let address = self.platform.address("listening");
         let answer = post(
@@ -285,7 +285,7 @@
         );
     }
 
-    /// Gives an engine a fault.
+    /// Injects a fault into an engine.
     pub fn engine_fault(&self, engine: usize, command: &Value) {
         let address = self.engines[engine].address("listening");
         let answer = post(
@@ -302,18 +302,21 @@
         );
     }
 
-    /// What an engine has counted.
+    /// Returns the counts of an engine.
     pub fn engine_counts(&self, engine: usize) -> Value {
         counts(&self.engines[engine])
     }
 
-    /// What the plain service has counted.
+    /// Returns the counts of a plain service.
     pub fn plain_counts(&self, plain: usize) -> Value {
         counts(&self.plain[plain])
     }
 }
 
-/// Waits for a condition, and gives up only after [`CONDITION_TIMEOUT`].
+/// Waits until a condition holds.
+///
+/// # Panics
+/// Panics after [`CONDITION_TIMEOUT`].
 pub fn until<F>(what: &str, mut condition: F)
 where
     F: FnMut() -> bool,
@@ -328,17 +331,17 @@
     }
 }
 
-/// What a stand-in has counted.
+/// Returns the counts of a stand-in.
 pub fn counts(process: &Process) -> Value {
     let (status, body) = get(&process.address("listening"), "/counts");
     assert_eq!(status, 200, "counts: {}", text(&body));
     serde_json::from_slice(&body).expect("counts are JSON")
 }
 
-/// A unary call in JSON.
+/// Makes a unary call in JSON.
 ///
 /// # Errors
-/// The error body, or null when nothing can be reached there.
+/// Returns the error body, or null if the address is unreachable.
 pub fn call(address: &str, path: &str, body: &Value) -> Result<Value, Value> {
     let (status, answer) = post(address, path, "application/json", body.to_string().into());
     let answer = serde_json::from_slice(&answer).unwrap_or(Value::Null);
@@ -349,17 +352,17 @@
     }
 }
 
-/// The typed refusal in an error body.
+/// Returns the typed refusal in an error body.
 pub fn refusal(error: &Value) -> &Value {
     &error["details"][0]["debug"]
 }
 
-/// A GET; status 0 when nothing can be reached there.
+/// Sends a GET request. The status is 0 if the address is unreachable.
 pub fn get(address: &str, path: &str) -> (u16, Vec<u8>) {
     http(address, path, None)
 }
 
-/// A POST; status 0 when nothing can be reached there.
+/// Sends a POST request. The status is 0 if the address is unreachable.
 pub fn post(address: &str, path: &str, media: &'static str, body: Vec<u8>) -> (u16, Vec<u8>) {
     http(address, path, Some((media, body)))
 }
