--- a/standin/tests/store_client.rs
+++ b/standin/tests/store_client.rs
@@ -37,7 +37,7 @@
 }
 
 #[gtest]
-fn scan_other_prefix_behind() {
+fn scan_later_prefix() {
     // Guards against scans that read past their prefix: when a caller reads the results of one
     // small job, the rows of later jobs would be read and dropped, up to a megabyte for each read.
     run(|store, client| async move {
@@ -70,7 +70,7 @@
 }
 
 #[gtest]
-fn list_again() {
+fn list_repeated() {
     // Every node of a large fleet lists the other nodes repeatedly. It must read only new rows, or
     // the cost of starting all nodes would grow with the square of their number.
     run(|store, client| async move {
