--- a/benches/frame.rs
+++ b/benches/frame.rs
@@ -1,4 +1,4 @@
-//! Processor time to encode and decode the frames between nodes, which every generated token
+//! CPU time to encode and decode the frames between nodes, which every generated token
 //! passes once. docs/CAPACITY.md multiplies it by the expected load.
 //!
 //! `cargo bench --bench frame`
@@ -30,7 +30,7 @@
     }
 }
 
-/// A piece of one token and a piece of eight.
+/// Measures pieces of one and of eight tokens.
 fn pieces(criterion: &mut Criterion) {
     for tokens in [1_usize, 8] {
         let frame = traffic::Frame::Piece {
@@ -56,7 +56,7 @@
     }
 }
 
-/// A datagram full of records, as gossip carries after an incident.
+/// Measures a datagram full of records, as gossip sends after an incident.
 fn gossip(criterion: &mut Criterion) {
     let updates: Vec<Update> = (0..7)
         .map(|at| {
--- a/benches/job.rs
+++ b/benches/job.rs
@@ -1,5 +1,5 @@
-//! Wall time of one node with the in-memory platform: items a second by the size and number of
-//! jobs, and memory of a chunk.
+//! Throughput of one node with the in-memory platform, in items per second by the number and size
+//! of jobs, and memory of a chunk.
 //!
 //! `cargo bench --bench job`. Bounds on counts are in `tests/job_budget.rs`; these figures depend
 //! on the machine and have no bounds.
@@ -17,13 +17,13 @@
 use auburnspoke::table::memory::Platform;
 use tokio::sync::oneshot;
 
-/// Length of a prompt in bytes.
-const PROMPT: usize = 400;
+/// Length of a prompt.
+const PROMPT_BYTES: usize = 400;
 
-/// An endpoint that answers at once.
-struct Instantly;
+/// An executor that completes every item without delay.
+struct Immediate;
 
-impl Execute for Instantly {
+impl Execute for Immediate {
     fn capacity(&self, _service: &Name) -> usize {
         64
     }
@@ -45,7 +45,7 @@
     (0..count)
         .map(|number| Item {
             key: "".into(),
-            prompt: format!("{number:0>PROMPT$}").into(),
+            prompt: format!("{number:0>PROMPT_BYTES$}").into(),
             max_tokens: 16,
         })
         .collect()
@@ -75,7 +75,7 @@
     }
 }
 
-/// Seconds to accept and to run `count` jobs of `size` items.
+/// Returns the seconds taken to accept and to run `count` jobs of `size` items.
 async fn measure(count: usize, size: usize) -> (f64, f64) {
     let platform = Platform::new(1);
     let jobs = Jobs::new(platform.clone(), platform.clone());
@@ -93,7 +93,7 @@
         "bench".into(),
         platform.clone(),
         platform,
-        Instantly,
+        Immediate,
         setting,
     );
     let (stop, stopped) = oneshot::channel::<()>();
--- a/benches/member.rs
+++ b/benches/member.rs
@@ -1,9 +1,8 @@
-//! Cost of membership: processor time per step, measured by criterion, and
-//! traffic and convergence times of large fleets in virtual time, which are
-//! deterministic.
+//! Cost of membership: CPU time per step, measured by criterion, and traffic and convergence times
+//! of large fleets in virtual time, which are deterministic.
 //!
-//! `cargo bench --bench member -- fleet` prints the fleets, and `-- step`
-//! measures the steps.
+//! `cargo bench --bench member -- fleet` prints the figures of the fleets, and `-- step` measures the
+//! steps.
 
 #[path = "../tests/member/net.rs"]
 mod net;
@@ -17,7 +16,7 @@
 use criterion::Criterion;
 use net::{Net, secs};
 
-/// Fleet sizes: the smallest, the present one, and up to the design limit.
+/// Fleet sizes, from the smallest through the current one to the design limit.
 const COUNTS: [usize; 5] = [3, 12, 48, 150, 330];
 
 fn bytes(net: &Net) -> f64 {
@@ -26,7 +25,7 @@
     (sent + 28 * datagrams) as f64 / net.nodes.len() as f64
 }
 
-fn versions_known(net: &Net, version: u64) -> bool {
+fn all_in_force(net: &Net, version: u64) -> bool {
     let mut views = net.nodes.values().map(|node| node.gossip.view());
     views.all(|view| view.members.iter().all(|m| m.config_version >= version))
 }
@@ -49,7 +48,7 @@
     for at in 1..count {
         net.input(at, Input::InForce(1));
     }
-    let known = net.run_until(secs(300), |net| versions_known(net, 1));
+    let known = net.run_until(secs(300), |net| all_in_force(net, 1));
     net.run(secs(120));
     let change = bytes(&net) - start - idle * 120.0;
     let start = bytes(&net);
@@ -64,8 +63,7 @@
     );
 }
 
-/// Two of the five zones of a fleet are partitioned from the others for five
-/// minutes.
+/// Partitions two of the five zones of a fleet from the others for five minutes.
 fn partition(seed: u64, count: usize) {
     let mut net = Net::fleet(seed, count);
     for at in (0..count).filter(|at| at % 5 < 2) {
@@ -81,7 +79,7 @@
     );
 }
 
-/// Datagram loss without any other fault; every suspicion is a false one.
+/// Drops datagrams and injects no other fault, so that every suspicion is a false positive.
 fn losses(count: usize) {
     for loss in [0.01, 0.05, 0.1, 0.2] {
         let mut net = Net::fleet(1, count);
--- a/benches/path.rs
+++ b/benches/path.rs
@@ -1,6 +1,6 @@
-//! Processor time and memory of nodes under load, on real processes: three nodes and eight
-//! stand-in engines. Prints the cost per question and per token, by which docs/CAPACITY.md
-//! multiplies the expected load.
+//! CPU time and memory of nodes under load, with real processes: three nodes and eight stand-in
+//! engines. Prints the cost per question and per token, which docs/CAPACITY.md multiplies by the
+//! expected load.
 //!
 //! `cargo build --release --workspace && cargo bench --bench path`
 
@@ -30,7 +30,7 @@
     questions: f64,
     tokens: f64,
     refused: f64,
-    /// Processor seconds of all nodes.
+    /// CPU seconds of all nodes.
     cpu: f64,
     seconds: f64,
 }
@@ -66,7 +66,7 @@
     kib / 1_024.0
 }
 
-/// Asks one question after another until `end`.
+/// Sends questions one after another until `end`, and counts the answers.
 async fn ask(server: SocketAddr, max_tokens: u32, number: usize, tally: Rc<Tally>, end: Instant) {
     let timeouts = Timeouts {
         connect: Duration::from_secs(2),
@@ -86,15 +86,15 @@
             actix_rt::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
-        let mut whole = false;
+        let mut is_complete = false;
         while let Ok(Some(piece)) = answer.next().await {
             if let Some(end) = piece.end {
-                whole = true;
+                is_complete = true;
                 add(&tally.tokens, u64::from(end.tokens));
             }
         }
         add(
-            if whole {
+            if is_complete {
                 &tally.questions
             } else {
                 &tally.refused
@@ -111,27 +111,28 @@
         .filter_map(|node| node.address("callers").parse().ok())
         .collect();
     let tally = Rc::new(Tally::default());
-    let begun = Instant::now();
+    let start = Instant::now();
     let before = cpu(&fleet.nodes);
     actix_rt::System::new().block_on(async {
-        let end = begun + RUN_TIME;
-        let asking = (0..concurrency).map(|number| {
+        let end = start + RUN_TIME;
+        let callers = (0..concurrency).map(|number| {
             let server = servers[number % servers.len()];
             ask(server, max_tokens, number, Rc::clone(&tally), end)
         });
-        futures_util::future::join_all(asking).await;
+        futures_util::future::join_all(callers).await;
     });
     Sample {
         questions: tally.questions.get() as f64,
         tokens: tally.tokens.get() as f64,
         refused: tally.refused.get() as f64,
         cpu: cpu(&fleet.nodes) - before,
-        seconds: begun.elapsed().as_secs_f64(),
+        seconds: start.elapsed().as_secs_f64(),
     }
 }
 
-/// Solves two load runs for the cost of a question and of a token.
-fn slopes(short: &Sample, long: &Sample, idle: f64) -> (f64, f64) {
+/// Returns the cost of a question and of a token in microseconds, from the linear equations of two
+/// load runs.
+fn unit_costs(short: &Sample, long: &Sample, idle: f64) -> (f64, f64) {
     let cost = |sample: &Sample| sample.cpu - idle * sample.seconds;
     let determinant = short.questions * long.tokens - long.questions * short.tokens;
     let question = (cost(short) * long.tokens - cost(long) * short.tokens) / determinant;
@@ -162,7 +163,7 @@
         for concurrency in [8, 32] {
             let short = load(&fleet, concurrency, 4);
             let long = load(&fleet, concurrency, 200);
-            let (question, token) = slopes(&short, &long, idle);
+            let (question, token) = unit_costs(&short, &long, idle);
             println!(
                 "run {run}, {concurrency} at a time: {question:.0} us a question, {token:.1} us a \
                  token, both over gateway and dispatcher; {:.0} questions/s of 4 tokens, then \
--- a/benches/route.rs
+++ b/benches/route.rs
@@ -29,7 +29,7 @@
     router
 }
 
-/// The router's work for one request: choice, send, first token and end.
+/// Runs the router's steps of one request: selection, send, first token and end.
 fn request(router: &mut Router, id: u64, blocks: &[u64]) {
     let now = Time::from_micros(id * 100);
     let query = Query {
--- a/benches/wire.rs
+++ b/benches/wire.rs
@@ -1,6 +1,6 @@
-//! Processor time to encode and decode the frames that carry tokens.
+//! CPU time to encode and decode the frames that carry tokens.
 
-#![allow(missing_docs)] // The group that the macro makes has none.
+#![allow(missing_docs)] // `criterion_group!` generates undocumented items.
 
 use std::hint::black_box;
 
--- a/schema/src/main.rs
+++ b/schema/src/main.rs
@@ -1,7 +1,7 @@
-//! Generates the types of the RPC schema into the main crate.
+//! Generates the Rust types of the RPC schema into the main crate.
 //!
-//! The result is committed, so that a build needs no generator; CI runs this
-//! program and refuses a difference. Run it with `cargo run -p schema`.
+//! The generated files are committed, so that a build needs no generator. CI runs this program and
+//! fails if the files differ. Run it with `cargo run -p schema`.
 
 use std::path::Path;
 
