--- a/standin/src/policy.rs
+++ b/standin/src/policy.rs
@@ -1,61 +1,62 @@
-//! The policy benchmark: the product's dispatch, routing and retry decisions
-//! against the engine model, in seeded virtual time. docs/POLICY.md explains
-//! what it prints.
+//! The policy benchmark: runs the product's dispatch, routing and retry decisions against the
+//! engine model in seeded virtual time. docs/POLICY.md explains its output.
 
 use serde::Serialize;
 
 pub mod case;
 pub mod cli;
+mod engine;
 mod event;
 mod gateway;
 mod load;
 mod measure;
 pub mod plot;
-mod site;
-pub mod world;
 
-pub use case::{Case, Deployment, Scenario, Topology, Way};
+pub mod simulation;
+
+pub use case::{Admission, Case, Deployment, Scenario, Topology};
 pub use measure::Measure;
 
-/// Runs at the same time.
+/// Number of runs at the same time.
 const THREADS: usize = 4;
 
 /// One line of the benchmark's output.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Line {
-    /// Which users' fleet.
+    /// The deployment.
     pub deployment: &'static str,
-    /// What happens.
+    /// The scenario.
     pub scenario: &'static str,
-    /// How batch work is admitted.
+    /// The admission policy.
     pub policy: &'static str,
-    /// Median time to the first token, seen by a caller.
+    /// Median time to the first token, as the caller measures it.
     pub ttft_p50_ms: f64,
     /// Its 99th percentile.
     pub ttft_p99_ms: f64,
     /// 99th percentile of the time between two tokens.
     pub itl_p99_ms: f64,
-    /// Questions with a final refusal.
+    /// Online requests that were refused after all retries.
     pub online_refused: u64,
-    /// Questions answered.
+    /// Online requests that were completed.
     pub online_done: u64,
-    /// Batch items completed a second over the fleet.
+    /// Completed batch items per second over all endpoints.
     pub batch_items_s: f64,
-    /// `ttft_p99_ms` over that of `alone`.
+    /// `ttft_p99_ms` relative to that of the policy `alone`.
     pub ttft_p99_ratio: f64,
-    /// `itl_p99_ms` over that of `alone`.
+    /// `itl_p99_ms` relative to that of the policy `alone`.
     pub itl_p99_ratio: f64,
-    /// Batch tokens over those of the oracle.
+    /// Batch tokens relative to those of the oracle.
     pub batch_fraction: f64,
 }
 
-/// The output line of a measure.
+/// Returns the output line of a measure, relative to the runs without batch work and with the
+/// oracle.
 pub fn compare(case: &Case, measure: &Measure, alone: &Measure, oracle: &Measure) -> Line {
-    let ratio = |ours: f64, theirs: f64| round(ours / theirs.max(1e-9), 3);
+    let ratio = |value: f64, reference: f64| round(value / reference.max(1e-9), 3);
     Line {
         deployment: case.deployment.label(),
         scenario: case.scenario.label(),
-        policy: case.way.label(),
+        policy: case.admission.label(),
         ttft_p50_ms: round(measure.ttft_ms(0.5), 1),
         ttft_p99_ms: round(measure.ttft_ms(0.99), 1),
         itl_p99_ms: round(measure.itl_ms(0.99), 1),
@@ -73,14 +74,15 @@
     (value * scale).round() / scale
 }
 
-/// Runs cases side by side on a few threads; each is a world of its own.
+/// Runs cases on [`THREADS`] threads at a time. Each case is an independent simulation, so the
+/// results do not depend on the threads.
 pub fn run_all(cases: &[Case]) -> Vec<Measure> {
     let mut measures = Vec::new();
-    for some in cases.chunks(THREADS) {
+    for chunk in cases.chunks(THREADS) {
         std::thread::scope(|scope| {
-            let running: Vec<_> = some
+            let running: Vec<_> = chunk
                 .iter()
-                .map(|case| scope.spawn(|| world::simulate(case)))
+                .map(|case| scope.spawn(|| simulation::simulate(case)))
                 .collect();
             for thread in running {
                 match thread.join() {
--- a/standin/src/policy/case.rs
+++ b/standin/src/policy/case.rs
@@ -1,90 +1,90 @@
-//! What is simulated: deployments, scenarios and ways of admitting.
+//! The simulated cases: deployments, scenarios and admission policies.
 
 use std::time::Duration;
 
 use auburnspoke::dispatch::Policy;
 use auburnspoke::embedded::engine::Parameters;
 
-/// The users' fleets.
+/// The users' deployments.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Deployment {
-    /// The payments association: 9 replicas, three zones 1 ms apart.
+    /// The payments association: 9 replicas, three availability zones 1 ms apart.
     Association,
-    /// The kitchens trust: 18 replicas, three zones 0.5 ms apart.
+    /// The kitchens trust: 18 replicas, three availability zones 0.5 ms apart.
     Trust,
 }
 
-/// What happens during the run.
+/// Load and faults of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scenario {
-    /// Questions come evenly.
+    /// Online requests at a constant rate.
     Steady,
-    /// Four times as many for three seconds, each fifteen seconds.
+    /// Four times the rate for three seconds in every fifteen.
     Burst,
-    /// Three times as many, in slow waves.
+    /// Three times the rate on average, in slow waves.
     DeadlineWeek,
-    /// One endpoint goes silent for a third of the run.
+    /// One endpoint does not respond for a third of the run.
     EndpointLoss,
     /// One endpoint takes three times as long for a third of the run.
     SlowEndpoint,
-    /// Bursts, while reports and cache events come five seconds late.
+    /// As [`Scenario::Burst`], with reports and cache events delayed by five seconds.
     LaggingReports,
 }
 
 /// How batch work is admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
-    /// There is none.
+pub enum Admission {
+    /// There is no batch work.
     Alone,
-    /// By the product's queue under a policy.
+    /// By the product's queue with a policy.
     Queue(Policy),
-    /// By an engine that knows the classes and the future.
+    /// By an engine that schedules with full knowledge of classes and future arrivals.
     Oracle {
-        /// Most batch sequences beside a question.
-        beside: u32,
+        /// Most batch sequences that run while an online request does.
+        max_batch: u32,
     },
 }
 
-/// Who admits to an endpoint.
+/// Where requests are admitted to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Topology {
-    /// One node.
+    /// At one node for each endpoint.
     Dispatcher,
-    /// Each gateway, by the engine's lagging report.
+    /// At each gateway, by the engine's delayed reports.
     Reports,
-    /// Each gateway, within an equal part of the slots.
+    /// At each gateway, within an equal share of the slots.
     Parts,
 }
 
 /// One run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Case {
-    /// Which fleet.
+    /// The deployment.
     pub deployment: Deployment,
-    /// What happens.
+    /// The scenario.
     pub scenario: Scenario,
     /// How batch work is admitted.
-    pub way: Way,
-    /// Who admits.
+    pub admission: Admission,
+    /// Where requests are admitted.
     pub topology: Topology,
-    /// From 0 (batch throughput) to 100 (online tail latency).
+    /// Weight of latency: from 0 (batch throughput) to 100 (online tail latency).
     pub latency_weight: u32,
-    /// True when late repeatable questions are hedged.
+    /// Whether late online requests are hedged.
     pub hedge: bool,
-    /// Seed of arrivals and lengths.
+    /// Seed of the arrivals and lengths.
     pub seed: u64,
-    /// Seconds that are measured, after the warm-up.
+    /// Measured seconds after the warm-up.
     pub seconds: u64,
 }
 
-/// Seconds before measuring begins.
+/// Seconds of warm-up before the measurement.
 pub const WARM_UP: u64 = 15;
 
 impl Deployment {
-    /// Both.
+    /// All deployments.
     pub const ALL: [Self; 2] = [Self::Association, Self::Trust];
 
-    /// The label in the output.
+    /// Returns the label in the output.
     pub const fn label(self) -> &'static str {
         match self {
             Self::Association => "association",
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Replicas of the model.
+    /// Returns the number of replicas.
     pub const fn endpoints(self) -> usize {
         match self {
             Self::Association => 9,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Entry VMs.
+    /// Returns the number of VMs that accept requests.
     pub const fn gateways(self) -> usize {
         match self {
             Self::Association => 9,
@@ -108,15 +108,15 @@
         }
     }
 
-    /// One way between zones.
-    pub const fn hop(self) -> Duration {
+    /// Returns the one-way network delay between availability zones.
+    pub const fn zone_delay(self) -> Duration {
         match self {
             Self::Association => Duration::from_millis(1),
             Self::Trust => Duration::from_micros(500),
         }
     }
 
-    /// The setting that suits the users.
+    /// Returns the latency weight that the users set.
     pub const fn latency_weight(self) -> u32 {
         match self {
             Self::Association => 80,
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Questions a second for each replica on an ordinary day.
+    /// Returns the usual rate of online requests per second and replica.
     pub const fn rate(self) -> f64 {
         match self {
             Self::Association => 2.0,
@@ -134,7 +134,7 @@
 }
 
 impl Scenario {
-    /// Each.
+    /// All scenarios.
     pub const ALL: [Self; 6] = [
         Self::Steady,
         Self::Burst,
@@ -144,7 +144,7 @@
         Self::LaggingReports,
     ];
 
-    /// The label in the output.
+    /// Returns the label in the output.
     pub const fn label(self) -> &'static str {
         match self {
             Self::Steady => "steady",
@@ -156,8 +156,8 @@
         }
     }
 
-    /// Questions against an ordinary day's at `seconds` into the run.
-    pub fn factor(self, seconds: f64) -> f64 {
+    /// Returns the load relative to the usual rate, `seconds` after the start of the run.
+    pub fn load_factor(self, seconds: f64) -> f64 {
         match self {
             Self::Steady | Self::EndpointLoss | Self::SlowEndpoint => 1.0,
             Self::Burst | Self::LaggingReports if seconds % 15.0 < 3.0 => 4.0,
@@ -166,7 +166,7 @@
         }
     }
 
-    /// The engine in this scenario.
+    /// Returns the engine parameters of this scenario.
     pub fn parameters(self) -> Parameters {
         let mut parameters = Parameters::default();
         if self == Self::LaggingReports {
@@ -177,9 +177,8 @@
     }
 }
 
-impl Way {
-    /// The policies that are compared; the oracle is what they are compared
-    /// with.
+impl Admission {
+    /// The policies to compare. The oracle is the reference for them.
     pub const ALL: [Self; 5] = [
         Self::Alone,
         Self::Queue(Policy::All),
@@ -188,10 +187,12 @@
         Self::Queue(Policy::AdaptiveCancel),
     ];
 
-    /// The oracle without a bound on what runs beside questions.
-    pub const ORACLE: Self = Self::Oracle { beside: u32::MAX };
+    /// The oracle without a limit on batch sequences beside online requests.
+    pub const ORACLE: Self = Self::Oracle {
+        max_batch: u32::MAX,
+    };
 
-    /// The label in the output.
+    /// Returns the label in the output.
     pub const fn label(self) -> &'static str {
         match self {
             Self::Alone => "alone",
@@ -205,12 +206,12 @@
 }
 
 impl Case {
-    /// A case with the deployment's own setting.
-    pub const fn new(deployment: Deployment, scenario: Scenario, way: Way) -> Self {
+    /// Returns a case with the deployment's usual latency weight.
+    pub const fn new(deployment: Deployment, scenario: Scenario, admission: Admission) -> Self {
         Self {
             deployment,
             scenario,
-            way,
+            admission,
             topology: Topology::Dispatcher,
             latency_weight: deployment.latency_weight(),
             hedge: false,
@@ -219,10 +220,10 @@
         }
     }
 
-    /// The same with batch work admitted another way.
+    /// Returns the same case with another admission policy.
     #[must_use]
-    pub const fn with(mut self, way: Way) -> Self {
-        self.way = way;
+    pub const fn with(mut self, admission: Admission) -> Self {
+        self.admission = admission;
         self
     }
 }
--- a/standin/src/policy/cli.rs
+++ b/standin/src/policy/cli.rs
@@ -7,16 +7,16 @@
 use eyre::Result;
 
 use super::plot::{self, Panel, Point};
-use super::{Case, Deployment, Line, Measure, Scenario, Topology, Way, compare, run_all};
+use super::{Admission, Case, Deployment, Line, Measure, Scenario, Topology, compare, run_all};
 
-/// Weights along the frontier.
+/// Latency weights along the frontier.
 const WEIGHTS: [u32; 7] = [100, 90, 80, 60, 40, 20, 0];
-/// Fixed parts along the frontier, in a hundred.
-const PARTS: [u32; 4] = [10, 25, 50, 75];
-/// Batch sequences that the oracle lets run beside a question.
-const BESIDE: [u32; 6] = [0, 8, 16, 32, 48, u32::MAX];
+/// Shares of a fixed split along the frontier.
+const SPLIT_PERCENTAGES: [u32; 4] = [10, 25, 50, 75];
+/// Limits of the oracle on batch sequences beside an online request.
+const ORACLE_BATCH_LIMITS: [u32; 6] = [0, 8, 16, 32, 48, u32::MAX];
 
-/// The subcommand's arguments.
+/// Returns the definition of the `policy` subcommand.
 pub fn command() -> Command {
     let number = |name: &'static str, default: &'static str| {
         Arg::new(name)
@@ -59,28 +59,28 @@
         )
 }
 
-/// Runs and prints.
+/// Runs the benchmark and prints one JSON object for each case, or plots the frontier.
 ///
 /// # Errors
-/// When a line or the plot can't be written.
+/// Fails if a line or the plot cannot be written.
 pub fn run(arguments: &ArgMatches) -> Result<()> {
     if let Some(path) = arguments.get_one::<PathBuf>("frontier") {
-        return frontier(arguments, path);
+        return plot_frontier(arguments, path);
     }
-    let ways: Vec<Way> = Way::ALL
+    let admissions: Vec<Admission> = Admission::ALL
         .into_iter()
-        .chain([Way::ORACLE])
-        .filter(|way| is(arguments, "policy", way.label()))
+        .chain([Admission::ORACLE])
+        .filter(|admission| matches_filter(arguments, "policy", admission.label()))
         .collect();
     for deployment in Deployment::ALL {
         for scenario in Scenario::ALL {
-            if is(arguments, "deployment", deployment.label())
-                && is(arguments, "scenario", scenario.label())
+            if matches_filter(arguments, "deployment", deployment.label())
+                && matches_filter(arguments, "scenario", scenario.label())
             {
-                let base = base(arguments, deployment, scenario);
-                let cases: Vec<Case> = ways
+                let base = base_case(arguments, deployment, scenario);
+                let cases: Vec<Case> = admissions
                     .iter()
-                    .map(|way| changed(arguments, base.with(*way)))
+                    .map(|admission| apply_arguments(arguments, base.with(*admission)))
                     .collect();
                 for (line, measure) in lines(base, &cases) {
                     println!("{}", serde_json::to_string(&line)?);
@@ -102,10 +102,9 @@
     Ok(())
 }
 
-/// The lines of `cases`, compared with the run without batch work and with the
-/// oracle's.
+/// Returns the lines of `cases`, relative to the runs without batch work and with the oracle.
 fn lines(base: Case, cases: &[Case]) -> Vec<(Line, Measure)> {
-    let all: Vec<Case> = [base.with(Way::Alone), base.with(Way::ORACLE)]
+    let all: Vec<Case> = [base.with(Admission::Alone), base.with(Admission::ORACLE)]
         .into_iter()
         .chain(cases.iter().copied())
         .collect();
@@ -118,18 +117,20 @@
         .collect()
 }
 
-fn frontier(arguments: &ArgMatches, path: &std::path::Path) -> Result<()> {
+fn plot_frontier(arguments: &ArgMatches, path: &std::path::Path) -> Result<()> {
     let mut panels = Vec::new();
     for deployment in Deployment::ALL {
         for scenario in [Scenario::Steady, Scenario::Burst, Scenario::DeadlineWeek] {
-            let base = base(arguments, deployment, scenario);
+            let base = base_case(arguments, deployment, scenario);
             let weighted = WEIGHTS.map(|weight| Case {
                 latency_weight: weight,
-                ..base.with(Way::Queue(Policy::AdaptiveCancel))
+                ..base.with(Admission::Queue(Policy::AdaptiveCancel))
             });
-            let split = PARTS.map(|part| base.with(Way::Queue(Policy::Split(part))));
-            let oracle = BESIDE.map(|beside| base.with(Way::Oracle { beside }));
-            let all = [base.with(Way::Queue(Policy::All))];
+            let split =
+                SPLIT_PERCENTAGES.map(|part| base.with(Admission::Queue(Policy::Split(part))));
+            let oracle =
+                ORACLE_BATCH_LIMITS.map(|max_batch| base.with(Admission::Oracle { max_batch }));
+            let all = [base.with(Admission::Queue(Policy::All))];
             let cases: Vec<Case> = weighted
                 .into_iter()
                 .chain(split)
@@ -138,13 +139,13 @@
                 .collect();
             let mut points = Vec::new();
             for (case, (line, _)) in cases.iter().zip(lines(base, &cases)) {
-                let mark = mark(case);
-                println!("{mark} {}", serde_json::to_string(&line)?);
+                let setting = setting_label(case);
+                println!("{setting} {}", serde_json::to_string(&line)?);
                 points.push(Point {
                     policy: line.policy,
-                    mark,
-                    harm: line.ttft_p99_ratio.max(line.itl_p99_ratio),
-                    batch: line.batch_fraction,
+                    setting,
+                    tail_ratio: line.ttft_p99_ratio.max(line.itl_p99_ratio),
+                    batch_fraction: line.batch_fraction,
                 });
             }
             let title = format!("{}, {}", deployment.label(), scenario.label());
@@ -154,18 +155,21 @@
     plot::draw(path, &panels)
 }
 
-fn mark(case: &Case) -> String {
-    match case.way {
-        Way::Queue(Policy::Split(part)) => format!("{part}%"),
-        Way::Oracle { beside: u32::MAX } | Way::Queue(Policy::All) => "all".to_owned(),
-        Way::Oracle { beside } => beside.to_string(),
-        Way::Queue(_) | Way::Alone => case.latency_weight.to_string(),
+fn setting_label(case: &Case) -> String {
+    match case.admission {
+        Admission::Queue(Policy::Split(part)) => format!("{part}%"),
+        Admission::Oracle {
+            max_batch: u32::MAX,
+        }
+        | Admission::Queue(Policy::All) => "all".to_owned(),
+        Admission::Oracle { max_batch } => max_batch.to_string(),
+        Admission::Queue(_) | Admission::Alone => case.latency_weight.to_string(),
     }
 }
 
-fn base(arguments: &ArgMatches, deployment: Deployment, scenario: Scenario) -> Case {
+fn base_case(arguments: &ArgMatches, deployment: Deployment, scenario: Scenario) -> Case {
     let number = |name: &str| arguments.get_one::<u64>(name).copied();
-    let mut case = Case::new(deployment, scenario, Way::Alone);
+    let mut case = Case::new(deployment, scenario, Admission::Alone);
     case.seed = number("seed").unwrap_or(case.seed);
     case.seconds = number("seconds").unwrap_or(case.seconds);
     if let Some(weight) = arguments.get_one::<u32>("weight") {
@@ -174,8 +178,8 @@
     case
 }
 
-fn changed(arguments: &ArgMatches, mut case: Case) -> Case {
-    if matches!(case.way, Way::Queue(_)) {
+fn apply_arguments(arguments: &ArgMatches, mut case: Case) -> Case {
+    if matches!(case.admission, Admission::Queue(_)) {
         case.hedge = arguments.get_flag("hedge");
         case.topology = match arguments.get_one::<String>("topology").map(String::as_str) {
             Some("reports") => Topology::Reports,
@@ -186,7 +190,7 @@
     case
 }
 
-fn is(arguments: &ArgMatches, name: &str, label: &str) -> bool {
+fn matches_filter(arguments: &ArgMatches, name: &str, label: &str) -> bool {
     let wanted = arguments.get_one::<String>(name);
     wanted.is_none_or(|wanted| wanted == label)
 }
--- a/standin/src/policy/site.rs
+++ b/standin/src/policy/engine.rs
@@ -1,4 +1,4 @@
-//! An engine and the queues before it.
+//! The simulated engines and the dispatch queues in front of them.
 
 use std::collections::HashMap;
 
@@ -8,80 +8,79 @@
 use auburnspoke::embedded::engine::model::Job;
 use auburnspoke::request::Class;
 
-use super::case::{Case, Topology, Way};
+use super::case::{Admission, Case, Topology};
 use super::load::{Item, MAX_TOKENS, Source};
 
-/// Batch identities lie above this.
-pub const BATCH: u64 = 1 << 62;
-/// Time in which a batch item is due, in seconds.
-const BATCH_DUE: u64 = 100_000;
-/// Jobs that each queue takes items of.
-const JOBS: u64 = 4;
+/// Lowest id of a batch item; online requests have lower ids.
+pub const BATCH_IDS: u64 = 1 << 62;
+/// Time after which a batch item is due.
+const BATCH_DUE_SECONDS: u64 = 100_000;
+/// Number of jobs from which each queue takes items in turn.
+const JOBS_PER_QUEUE: u64 = 4;
 
-/// An engine.
+/// A simulated engine.
 #[derive(Debug)]
-pub struct Site {
-    /// The engine.
+pub struct Engine {
+    /// The engine model.
     pub model: Model,
-    /// When its step's end was put on the agenda for.
+    /// Time for which the end of its step is scheduled.
     pub due: Option<Time>,
-    /// True while nothing reaches it and nothing comes from it.
+    /// Whether it is cut off from the network.
     pub silent: bool,
-    /// The last cache event that gateways saw.
-    pub seen: u64,
+    /// Sequence number of the last cache event that was sent to the gateways.
+    pub last_event: u64,
 }
 
 /// A batch item at a queue.
 #[derive(Clone, Debug)]
 pub struct Work {
-    /// What it is.
     pub item: Item,
-    /// Tokens that came so far.
+    /// Number of tokens received so far.
     pub done: u32,
 }
 
-/// A queue before an engine and the jobs that feed it.
-pub struct Front {
+/// A dispatch queue in front of an engine, with the jobs that fill it.
+pub struct Dispatcher {
     queue: Queue,
-    /// Where its batch items come from; none without batch work.
+    /// Source of its batch items; `None` without batch work.
     source: Option<Source>,
     index: u64,
-    next: u64,
-    /// Its batch items.
+    last_id: u64,
+    /// Its batch items by id.
     pub work: HashMap<u64, Work>,
-    /// When its wake-up was put on the agenda for.
+    /// Time for which its wake-up is scheduled.
     pub due: Option<Time>,
-    /// The slots of its endpoint.
+    /// Number of slots of its endpoint.
     slots: u32,
     topology: Topology,
 }
 
-impl Front {
-    /// The queue with that index.
+impl Dispatcher {
+    /// Creates the queue with this index.
     pub fn new(case: &Case, index: usize, slots: u32) -> Self {
-        let own = match case.topology {
+        let own_slots = match case.topology {
             Topology::Parts => {
                 (slots / u32::try_from(case.deployment.gateways()).unwrap_or(1)).max(1)
             }
             _ => slots,
         };
         let setting = Setting {
-            slots: own,
+            slots: own_slots,
             latency_weight: case.latency_weight,
             closed: false,
         };
-        let policy = match case.way {
-            Way::Queue(policy) => policy,
-            Way::Alone => auburnspoke::dispatch::Policy::default(),
-            Way::Oracle { .. } => auburnspoke::dispatch::Policy::All,
+        let policy = match case.admission {
+            Admission::Queue(policy) => policy,
+            Admission::Alone => auburnspoke::dispatch::Policy::default(),
+            Admission::Oracle { .. } => auburnspoke::dispatch::Policy::All,
         };
         let index = index as u64;
         let source = Source::new(case.deployment, case.seed * 1_000 + 100 + index);
         Self {
             queue: Queue::with_policy(Time::ZERO, setting, policy),
-            source: (case.way != Way::Alone).then_some(source),
+            source: (case.admission != Admission::Alone).then_some(source),
             index,
-            next: 0,
+            last_id: 0,
             work: HashMap::new(),
             due: None,
             slots,
@@ -89,7 +88,7 @@
         }
     }
 
-    /// Takes an input, and offers batch items while the queue has room.
+    /// Handles an input, and offers batch items while the queue has room.
     pub fn step(&mut self, now: Time, input: Input, actions: &mut Vec<Action>) {
         if let Input::Report(report) = &input
             && self.topology == Topology::Reports
@@ -111,17 +110,17 @@
         }
     }
 
-    /// How busy the endpoint is.
+    /// Returns the endpoint's load.
     pub fn load(&self) -> Load {
         self.queue.load()
     }
 
-    /// When the queue wants to be woken.
+    /// Returns when the queue's timer expires.
     pub fn wake(&self) -> Option<Time> {
         self.queue.wake()
     }
 
-    /// What the engine is asked to do for batch item `id`.
+    /// Returns the engine's job for batch item `id`.
     pub fn job(&self, id: u64) -> Option<Job> {
         let work = self.work.get(&id)?;
         Some(Job {
@@ -138,15 +137,15 @@
         let Some(source) = self.source.as_mut() else {
             return;
         };
-        self.next += 1;
-        let id = BATCH + (self.index << 32) + self.next;
-        let job = self.next % JOBS;
+        self.last_id += 1;
+        let id = BATCH_IDS + (self.index << 32) + self.last_id;
+        let job = self.last_id % JOBS_PER_QUEUE;
         let item = source.item(job);
         let offer = Offer {
             id,
             class: Class::Batch,
             organisation: format!("j{job}").into(),
-            deadline: now + std::time::Duration::from_secs(BATCH_DUE),
+            deadline: now + std::time::Duration::from_secs(BATCH_DUE_SECONDS),
             prompt_tokens: item.prompt.tokens,
             max_tokens: 2 * MAX_TOKENS,
             once: false,
--- a/standin/src/policy/event.rs
+++ b/standin/src/policy/event.rs
@@ -1,4 +1,4 @@
-//! What happens when.
+//! The simulation's events and their schedule.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -8,112 +8,111 @@
 use auburnspoke::embedded::engine::model::Token;
 use auburnspoke::outcome::Refusal;
 
-/// Something that happens at one place.
+/// An event at one component.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A question reaches its gateway.
+    /// A request reaches its gateway.
     Arrive(usize),
-    /// A gateway tries again.
+    /// A gateway retries a request.
     Retry(usize),
-    /// A gateway looks whether a first token is late.
+    /// A gateway checks whether a first token is late.
     Hedge(usize),
     /// An attempt reaches a queue.
     Offer(u64),
-    /// A gateway gave an attempt up.
+    /// The withdrawal of an attempt reaches a queue.
     Withdraw(u64),
-    /// A queue's own time has come.
+    /// A queue's timer expires.
     Wake(usize),
     /// A run reaches an engine.
     Start {
-        /// The queue that sent it.
+        /// Index of the queue that sent it.
         queue: usize,
-        /// Which request.
+        /// Id of the request.
         id: u64,
     },
     /// A stop reaches an engine.
     Stop {
-        /// The queue that sent it.
+        /// Index of the queue that sent it.
         queue: usize,
-        /// Which request.
+        /// Id of the request.
         id: u64,
     },
     /// An engine's step ends.
     Step(usize),
     /// Tokens of one step reach a queue.
     Tokens {
-        /// Which queue.
+        /// Index of the queue.
         queue: usize,
         /// The tokens.
         tokens: Vec<Token>,
     },
     /// The end of a run reaches a queue.
     Ended {
-        /// Which queue.
+        /// Index of the queue.
         queue: usize,
-        /// Which request.
+        /// Id of the request.
         id: u64,
-        /// How.
+        /// How the run ended.
         end: End,
     },
     /// A token reaches the gateway.
     Piece {
-        /// Which attempt.
+        /// Id of the attempt.
         id: u64,
-        /// Its place in the answer.
+        /// Its offset in the response.
         offset: u32,
-        /// The endpoint's load, with the first one.
+        /// The endpoint's load, sent with the first token.
         load: Option<Load>,
     },
     /// The end of an attempt reaches the gateway.
-    Tell {
-        /// Which attempt.
+    AttemptEnded {
+        /// Id of the attempt.
         id: u64,
-        /// None when the answer is whole.
+        /// Whether it ran and why it failed; `None` if the response is complete.
         failure: Option<(bool, Refusal)>,
         /// The endpoint's load.
         load: Load,
     },
-    /// Engines are asked for their reports.
+    /// The reports of all engines are polled.
     Poll,
     /// A report reaches a queue.
     Report {
-        /// Which queue.
+        /// Index of the queue.
         queue: usize,
         /// The report.
         report: Report,
     },
-    /// A fault begins or ends.
+    /// A fault starts (true) or ends.
     Fault(bool),
 }
 
-/// Events by time; those of the same time in the order they were added.
+/// Events by time. Events of the same time keep the order in which they were added.
 #[derive(Debug, Default)]
-pub struct Agenda {
+pub struct Schedule {
     heap: BinaryHeap<Reverse<(Time, u64, usize)>>,
     events: Vec<Option<Event>>,
     free: Vec<usize>,
     added: u64,
 }
 
-impl Agenda {
-    /// Adds an event.
+impl Schedule {
     pub fn add(&mut self, at: Time, event: Event) {
-        let place = if let Some(place) = self.free.pop() {
-            self.events[place] = Some(event);
-            place
+        let slot = if let Some(slot) = self.free.pop() {
+            self.events[slot] = Some(event);
+            slot
         } else {
             self.events.push(Some(event));
             self.events.len() - 1
         };
         self.added += 1;
-        self.heap.push(Reverse((at, self.added, place)));
+        self.heap.push(Reverse((at, self.added, slot)));
     }
 
-    /// The next event.
+    /// Removes and returns the next event.
     pub fn next(&mut self) -> Option<(Time, Event)> {
-        let Reverse((at, _, place)) = self.heap.pop()?;
-        self.free.push(place);
-        let event = self.events[place].take()?;
+        let Reverse((at, _, slot)) = self.heap.pop()?;
+        self.free.push(slot);
+        let event = self.events[slot].take()?;
         Some((at, event))
     }
 }
--- a/standin/src/policy/gateway.rs
+++ b/standin/src/policy/gateway.rs
@@ -1,4 +1,4 @@
-//! A gateway and the questions that it has taken.
+//! The simulated gateways and the state of the requests at them.
 
 use std::time::Duration;
 
@@ -8,55 +8,56 @@
 use auburnspoke::retry::{Assembly, Budget, Hedge};
 use auburnspoke::route::{Router, Target};
 
-use super::case::{Case, Way};
+use super::case::{Admission, Case};
 
-/// The service that all ask.
+/// The service of all online requests.
 pub const SERVICE: &str = "notes";
 const ZONES: usize = 3;
 
 /// A gateway.
 #[derive(Debug)]
 pub struct Gateway {
-    /// Chooses endpoints.
+    /// Routes requests to endpoints.
     pub router: Router,
-    /// What retries may cost.
+    /// Retry budget.
     pub budget: Budget,
-    /// When a first token is late.
+    /// Decides when a first token is late enough to hedge.
     pub hedge: Hedge,
 }
 
-/// A question at its gateway.
+/// The state of a request at its gateway.
 #[derive(Debug, Default)]
-pub struct Ask {
-    /// Its answer so far.
+pub struct Progress {
+    /// The response so far.
     pub assembly: Assembly,
-    /// When the last token was read.
+    /// When the last token arrived.
     pub last: Option<Time>,
-    /// Endpoints that were tried.
+    /// Endpoints that it was sent to.
     pub tried: Vec<Name>,
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub count: u32,
-    /// Attempts that are under way.
+    /// Ids of the active attempts.
     pub active: Vec<u64>,
-    /// True when its caller has its final answer.
+    /// Whether the request has ended.
     pub closed: bool,
 }
 
-/// An attempt at a question.
+/// One attempt at a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
-    /// Which question.
-    pub question: usize,
-    /// Which queue it went to.
+    /// Index of the request.
+    pub request: usize,
+    /// Index of the queue that it was sent to.
     pub queue: usize,
-    /// Tokens that its caller had.
+    /// Number of tokens that the gateway had received before.
     pub resume_from: u32,
-    /// True when it rather goes elsewhere than wait.
+    /// Whether the queue should refuse it rather than let it wait, so that it spills to another
+    /// endpoint.
     pub spills: bool,
 }
 
 impl Gateway {
-    /// The gateway with that index.
+    /// Creates the gateway with this index.
     pub fn new(case: &Case, index: usize) -> Self {
         let mut router = Router::new(zone(index), case.seed * 77 + index as u64);
         router.update((0..case.deployment.endpoints()).map(|at| Target {
@@ -65,8 +66,8 @@
             services: vec![SERVICE.into()],
         }));
         if matches!(
-            case.way,
-            Way::Queue(Policy::Adaptive | Policy::AdaptiveCancel)
+            case.admission,
+            Admission::Queue(Policy::Adaptive | Policy::AdaptiveCancel)
         ) {
             router.set_latency_weight(SERVICE, case.latency_weight);
         }
@@ -78,29 +79,29 @@
     }
 }
 
-/// The zone of the gateway or endpoint with that index.
+/// Returns the availability zone of the gateway or endpoint with this index.
 pub fn zone(index: usize) -> Name {
     ["a", "b", "c"][index % ZONES].into()
 }
 
-/// The name of the endpoint with that index.
+/// Returns the name of the endpoint with this index.
 pub fn endpoint(index: usize) -> Name {
     format!("e{index}").into()
 }
 
-/// The index in an endpoint's name.
+/// Returns the index in an endpoint's name.
 pub fn index_of(endpoint: &str) -> usize {
     endpoint[1..].parse().unwrap_or(0)
 }
 
-/// One way between the places with those indices.
-pub fn way(case: &Case, from: usize, to: usize) -> Duration {
+/// Returns the one-way network delay between the gateways or endpoints with these indices.
+pub fn network_delay(case: &Case, from: usize, to: usize) -> Duration {
     if from % ZONES == to % ZONES {
-        NEAR
+        SAME_ZONE_DELAY
     } else {
-        case.deployment.hop()
+        case.deployment.zone_delay()
     }
 }
 
-/// One way within a zone.
-pub const NEAR: Duration = Duration::from_micros(200);
+/// One-way network delay within an availability zone.
+pub const SAME_ZONE_DELAY: Duration = Duration::from_micros(200);
--- a/standin/src/policy/load.rs
+++ b/standin/src/policy/load.rs
@@ -1,4 +1,4 @@
-//! Questions and batch items, from a seed.
+//! Generates online requests and batch items from a seed.
 
 use std::time::Duration;
 
@@ -9,38 +9,38 @@
 
 use super::case::{Case, Deployment, WARM_UP};
 
-/// Tokens of a block of the prefix cache.
-const BLOCK: u32 = 16;
-/// Organisations that ask; the first asks most.
+/// Tokens in a block of the prefix cache.
+const BLOCK_TOKENS: u32 = 16;
+/// Number of organisations; the first sends the most requests.
 const ORGANISATIONS: u32 = 40;
-/// Tokens that every question begins with.
-const COMMON: u32 = 96;
-/// Tokens that every question of an organisation goes on with.
-const OWN: u32 = 64;
-/// Tokens that every item of a job begins with.
-const JOB: u32 = 160;
-
-/// A question.
+/// Length of the prefix that all online requests share.
+const COMMON_PREFIX_TOKENS: u32 = 96;
+/// Length of the prefix that the online requests of an organisation share after the common one.
+const ORGANISATION_PREFIX_TOKENS: u32 = 64;
+/// Length of the prefix that all items of a job share.
+const JOB_PREFIX_TOKENS: u32 = 160;
+
+/// An online request.
 #[derive(Clone, Debug)]
-pub struct Question {
+pub struct Request {
     /// When its caller sends it.
     pub at: Time,
-    /// The node that it is sent to.
+    /// Index of the gateway that it is sent to.
     pub gateway: usize,
-    /// Who asks.
+    /// Organisation of the caller.
     pub organisation: Name,
     /// Its prompt.
     pub prompt: Prompt,
-    /// Tokens of its whole answer.
+    /// Tokens of the complete response.
     pub length: u32,
 }
 
 /// A prompt as the engine's cache sees it.
 #[derive(Clone, Debug)]
 pub struct Prompt {
-    /// Its length.
+    /// Its length in tokens.
     pub tokens: u32,
-    /// Its blocks.
+    /// Its prefix cache blocks.
     pub blocks: Vec<u64>,
 }
 
@@ -49,45 +49,45 @@
 pub struct Item {
     /// Its prompt.
     pub prompt: Prompt,
-    /// Tokens of its whole answer.
+    /// Tokens of the complete response.
     pub length: u32,
 }
 
-struct Shape {
+struct Medians {
     prompt: f64,
     answer: f64,
 }
 
-/// Most tokens that a question asks for.
+/// Limit on the response's tokens that an online request sets.
 pub const MAX_TOKENS: u32 = 400;
 
-fn question_shape(deployment: Deployment) -> Shape {
+fn request_medians(deployment: Deployment) -> Medians {
     match deployment {
-        Deployment::Association => Shape {
+        Deployment::Association => Medians {
             prompt: 120.0,
             answer: 60.0,
         },
-        Deployment::Trust => Shape {
+        Deployment::Trust => Medians {
             prompt: 80.0,
             answer: 50.0,
         },
     }
 }
 
-fn item_shape(deployment: Deployment) -> Shape {
+fn item_medians(deployment: Deployment) -> Medians {
     match deployment {
-        Deployment::Association => Shape {
+        Deployment::Association => Medians {
             prompt: 160.0,
             answer: 80.0,
         },
-        Deployment::Trust => Shape {
+        Deployment::Trust => Medians {
             prompt: 220.0,
             answer: 160.0,
         },
     }
 }
 
-/// Makes prompts and lengths.
+/// A generator of prompts and lengths.
 pub struct Source {
     random: ChaCha8Rng,
     deployment: Deployment,
@@ -95,7 +95,7 @@
 }
 
 impl Source {
-    /// A source with a seed of its own.
+    /// Creates a source with its own seed.
     pub fn new(deployment: Deployment, seed: u64) -> Self {
         Self {
             random: ChaCha8Rng::seed_from_u64(seed),
@@ -104,74 +104,82 @@
         }
     }
 
-    /// Every question of the run.
-    pub fn questions(&mut self, case: &Case) -> Vec<Question> {
+    /// Returns all online requests of the run.
+    pub fn requests(&mut self, case: &Case) -> Vec<Request> {
         let end = (WARM_UP + case.seconds) as f64;
         let rate = case.deployment.rate() * case.deployment.endpoints() as f64;
-        // Thinning: candidates at the highest rate, of which a part is kept.
-        let highest = 4.0;
+        // Thinning of a Poisson process: candidates arrive at the highest rate, and each is kept
+        // with a probability in proportion to the current rate.
+        let max_factor = 4.0;
         let (mut seconds, mut all) = (0.0, Vec::new());
         loop {
             let uniform: f64 = self.random.random_range(1e-12..1.0);
-            seconds -= uniform.ln() / (rate * highest);
+            seconds -= uniform.ln() / (rate * max_factor);
             if seconds >= end {
                 return all;
             }
-            let kept = self.random.random_range(0.0..highest);
-            if kept < case.scenario.factor(seconds) {
+            let drawn = self.random.random_range(0.0..max_factor);
+            if drawn < case.scenario.load_factor(seconds) {
                 let at = Time::ZERO + Duration::from_secs_f64(seconds);
-                all.push(self.question(at));
+                all.push(self.request(at));
             }
         }
     }
 
-    /// The next item of job `job`.
+    /// Returns the next item of a job.
     pub fn item(&mut self, job: u64) -> Item {
-        let shape = item_shape(self.deployment);
-        let own = self.lognormal(shape.prompt);
-        let blocks = self.blocks(&[(1_000_000 + job, JOB)], own);
+        let medians = item_medians(self.deployment);
+        let own = self.lognormal(medians.prompt);
+        let blocks = self.blocks(&[(1_000_000 + job, JOB_PREFIX_TOKENS)], own);
         Item {
             prompt: Prompt {
-                tokens: JOB + own,
+                tokens: JOB_PREFIX_TOKENS + own,
                 blocks,
             },
-            length: self.lognormal(shape.answer).min(2 * MAX_TOKENS),
+            length: self.lognormal(medians.answer).min(2 * MAX_TOKENS),
         }
     }
 
-    fn question(&mut self, at: Time) -> Question {
-        let shape = question_shape(self.deployment);
+    fn request(&mut self, at: Time) -> Request {
+        let medians = request_medians(self.deployment);
         let skewed: f64 = self.random.random_range(0.0..1.0);
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)] // Below 40.
         let organisation = (skewed * skewed * f64::from(ORGANISATIONS)) as u64;
-        let own = self.lognormal(shape.prompt);
-        let blocks = self.blocks(&[(1, COMMON), (100 + organisation, OWN)], own);
+        let own = self.lognormal(medians.prompt);
+        let blocks = self.blocks(
+            &[
+                (1, COMMON_PREFIX_TOKENS),
+                (100 + organisation, ORGANISATION_PREFIX_TOKENS),
+            ],
+            own,
+        );
         let gateways = self.deployment.gateways();
-        Question {
+        Request {
             at,
             gateway: self.random.random_range(0..gateways),
             organisation: format!("o{organisation}").into(),
             prompt: Prompt {
-                tokens: COMMON + OWN + own,
+                tokens: COMMON_PREFIX_TOKENS + ORGANISATION_PREFIX_TOKENS + own,
                 blocks,
             },
-            length: self.lognormal(shape.answer).min(MAX_TOKENS),
+            length: self.lognormal(medians.answer).min(MAX_TOKENS),
         }
     }
 
     fn blocks(&mut self, shared: &[(u64, u32)], own: u32) -> Vec<u64> {
         let mut blocks = Vec::new();
         for (name, tokens) in shared {
-            blocks.extend((0..u64::from(tokens / BLOCK)).map(|at| (name << 8) + at));
+            blocks.extend((0..u64::from(tokens / BLOCK_TOKENS)).map(|at| (name << 8) + at));
         }
-        for _ in 0..own / BLOCK {
+        for _ in 0..own / BLOCK_TOKENS {
             self.unique += 1;
             blocks.push((1 << 60) + self.unique);
         }
         blocks
     }
 
-    /// A length whose median is `median`, some of them several times as long.
+    /// Draws a length from a log-normal distribution with this median; some lengths are several
+    /// times as long.
     fn lognormal(&mut self, median: f64) -> u32 {
         let normal: f64 = (0..12).map(|_| self.random.random::<f64>()).sum::<f64>() - 6.0;
         let value = (median * (0.5 * normal).exp()).clamp(4.0, 4_000.0);
--- a/standin/src/policy/measure.rs
+++ b/standin/src/policy/measure.rs
@@ -1,32 +1,32 @@
-//! What callers and jobs got out of a run.
+//! The measurements of a run, as callers and jobs see it.
 
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 
-/// Longest time that is told apart, in microseconds.
-const MOST_US: u64 = 600_000_000;
+/// Longest time that the histograms record; longer ones count as this.
+const MAX_TIME_US: u64 = 600_000_000;
 
 /// The figures of one run.
 #[derive(Clone, Debug)]
 pub struct Measure {
     ttft: Histogram<u64>,
     itl: Histogram<u64>,
-    /// Questions answered whole.
+    /// Completed online requests.
     pub done: u64,
-    /// Questions with a final refusal.
+    /// Online requests refused after all retries.
     pub refused: u64,
-    /// Batch items completed.
+    /// Completed batch items.
     pub items: u64,
-    /// Batch tokens of completed items.
+    /// Tokens of completed batch items.
     pub batch_tokens: u64,
     /// Batch runs that were stopped.
     pub stopped: u64,
-    /// Second and later attempts at questions.
+    /// Retries of online requests.
     pub retried: u64,
-    /// Second attempts at questions that were late.
+    /// Hedges of late online requests.
     pub hedged: u64,
-    /// Sequences that engines threw out for want of memory.
+    /// Sequences that engines preempted for lack of memory.
     pub preempted: u64,
 }
 
@@ -48,22 +48,22 @@
 }
 
 impl Measure {
-    /// A caller read a first token.
-    pub fn first_token(&mut self, took: Duration) {
+    /// Records the time to a first token.
+    pub fn record_first_token(&mut self, took: Duration) {
         record(&mut self.ttft, took);
     }
 
-    /// A caller read a further token.
-    pub fn next_token(&mut self, gap: Duration) {
+    /// Records the time between two tokens.
+    pub fn record_gap(&mut self, gap: Duration) {
         record(&mut self.itl, gap);
     }
 
-    /// A quantile of the time to the first token, in milliseconds.
+    /// Returns a quantile of the time to the first token.
     pub fn ttft_ms(&self, quantile: f64) -> f64 {
         self.ttft.value_at_quantile(quantile) as f64 / 1e3
     }
 
-    /// A quantile of the time between tokens, in milliseconds.
+    /// Returns a quantile of the time between tokens.
     pub fn itl_ms(&self, quantile: f64) -> f64 {
         self.itl.value_at_quantile(quantile) as f64 / 1e3
     }
@@ -71,10 +71,10 @@
 
 fn histogram() -> Histogram<u64> {
     // The bounds are constants that the library accepts.
-    Histogram::new_with_bounds(1, MOST_US, 3).unwrap_or_else(|_| unreachable!())
+    Histogram::new_with_bounds(1, MAX_TIME_US, 3).unwrap_or_else(|_| unreachable!())
 }
 
 fn record(histogram: &mut Histogram<u64>, took: Duration) {
-    let micros = u64::try_from(took.as_micros()).unwrap_or(MOST_US);
+    let micros = u64::try_from(took.as_micros()).unwrap_or(MAX_TIME_US);
     histogram.saturating_record(micros);
 }
--- a/standin/tests/policy_bounds.rs
+++ b/standin/tests/policy_bounds.rs
@@ -1,25 +1,29 @@
-//! Regression bounds on the policy, in shortened but seeded virtual time. The
-//! figures are the same on every run and machine; docs/POLICY.md has those of
-//! the whole benchmark.
+//! Regression bounds on the admission policy, from short runs in seeded virtual time. The figures
+//! are the same on every run and machine; docs/POLICY.md lists those of the whole benchmark.
 
 use auburnspoke::dispatch::Policy;
 use googletest::prelude::*;
-use standin::policy::{Case, Deployment, Line, Scenario, Way, compare, run_all};
+use standin::policy::{Admission, Case, Deployment, Line, Scenario, compare, run_all};
 
 const SECONDS: u64 = 20;
-const CANCEL: Way = Way::Queue(Policy::AdaptiveCancel);
+const CANCEL: Admission = Admission::Queue(Policy::AdaptiveCancel);
 
 fn case(deployment: Deployment, scenario: Scenario) -> Case {
     Case {
         seconds: SECONDS,
-        ..Case::new(deployment, scenario, Way::Alone)
+        ..Case::new(deployment, scenario, Admission::Alone)
     }
 }
 
-fn line(deployment: Deployment, scenario: Scenario, way: Way) -> Line {
+fn line(deployment: Deployment, scenario: Scenario, admission: Admission) -> Line {
     let base = case(deployment, scenario);
-    let measures = run_all(&[base, base.with(Way::ORACLE), base.with(way)]);
-    compare(&base.with(way), &measures[2], &measures[0], &measures[1])
+    let measures = run_all(&[base, base.with(Admission::ORACLE), base.with(admission)]);
+    compare(
+        &base.with(admission),
+        &measures[2],
+        &measures[0],
+        &measures[1],
+    )
 }
 
 #[gtest]
@@ -42,9 +46,8 @@
 
 #[gtest]
 fn burst_bounds() {
-    // Questions come in bursts while batch work fills the fleet. Were they to
-    // wait behind it, as they do when all is admitted, their first tokens would
-    // come ten times as late.
+    // Online requests arrive in bursts while batch work fills all endpoints. If they waited behind
+    // it, as they do when everything is admitted, their first tokens would be ten times as late.
     let line = line(Deployment::Association, Scenario::Burst, CANCEL);
     expect_that!(line.online_refused, eq(0));
     expect_that!(line.ttft_p99_ratio, le(1.25));
