--- a/benches/member.rs
+++ b/benches/member.rs
@@ -1,8 +1,8 @@
-//! What membership costs: processor time of a step, by criterion, and bytes and
-//! times of large fleets in virtual time, which are the same on every run.
+//! Cost of membership: CPU time per step, measured by criterion, and traffic and convergence times
+//! of large fleets in virtual time, which are deterministic.
 //!
-//! `cargo bench --bench member -- fleet` prints the fleets, and `-- step` times
-//! the steps.
+//! `cargo bench --bench member -- fleet` prints the figures of the fleets, and `-- step` measures the
+//! steps.
 
 #[path = "../tests/member/net.rs"]
 mod net;
@@ -16,7 +16,7 @@
 use criterion::Criterion;
 use net::{Net, secs};
 
-/// Sizes of fleets: the smallest, today's, and up to the design's.
+/// Fleet sizes, from the smallest through the current one to the design limit.
 const COUNTS: [usize; 5] = [3, 12, 48, 150, 330];
 
 fn bytes(net: &Net) -> f64 {
@@ -25,7 +25,7 @@
     (sent + 28 * datagrams) as f64 / net.nodes.len() as f64
 }
 
-fn versions_known(net: &Net, version: u64) -> bool {
+fn all_in_force(net: &Net, version: u64) -> bool {
     let mut views = net.nodes.values().map(|node| node.gossip.view());
     views.all(|view| view.members.iter().all(|m| m.config_version >= version))
 }
@@ -35,35 +35,35 @@
     for at in 0..count {
         net.start(at, &[0, 1, 2]);
     }
-    let formed = net.run_until(secs(300), |net| net.agreed(count));
+    let formed = net.run_until(secs(300), |net| net.converged(count));
     net.run(secs(60));
     let start = bytes(&net);
     net.run(secs(60));
-    let quiet = (bytes(&net) - start) / 60.0;
+    let idle = (bytes(&net) - start) / 60.0;
     let start = bytes(&net);
     net.input(0, Input::InForce(1));
-    let heard = net.run_until(secs(300), |net| {
+    let received = net.run_until(secs(300), |net| {
         net.nodes.values().all(|node| node.gossip.committed() == 1)
     });
     for at in 1..count {
         net.input(at, Input::InForce(1));
     }
-    let known = net.run_until(secs(300), |net| versions_known(net, 1));
+    let known = net.run_until(secs(300), |net| all_in_force(net, 1));
     net.run(secs(120));
-    let change = bytes(&net) - start - quiet * 120.0;
+    let change = bytes(&net) - start - idle * 120.0;
     let start = bytes(&net);
     net.kill(count - 1);
     let dead = net.run_until(secs(300), |net| net.all_see(count - 1, State::Dead));
     net.run(secs(60));
-    let death = bytes(&net) - start - quiet * 60.0;
+    let death = bytes(&net) - start - idle * 60.0;
     println!(
-        "seed {seed} members {count}: all agree after {formed:?}; quiet {quiet:.0} B/s out; \
-         a version is heard after {heard:?}, known to be in force after another {known:?}, \
+        "seed {seed} members {count}: converged after {formed:?}; idle {idle:.0} B/s out; \
+         a version is received after {received:?}, known to be in force after another {known:?}, \
          and takes {change:.0} B out; a death is known after {dead:?} and takes {death:.0} B out"
     );
 }
 
-/// Half the zones of a fleet lose the others for five minutes.
+/// Partitions two of the five zones of a fleet from the others for five minutes.
 fn partition(seed: u64, count: usize) {
     let mut net = Net::fleet(seed, count);
     for at in (0..count).filter(|at| at % 5 < 2) {
@@ -72,12 +72,14 @@
     net.run(secs(300));
     let healed = net.now;
     net.groups.clear();
-    let took = net.run_until(secs(600), |net| net.agreed(count));
-    let died = net.became(State::Dead, healed).len();
-    println!("seed {seed} members {count}: whole again {took:?} after a cut, {died} wrong deaths");
+    let took = net.run_until(secs(600), |net| net.converged(count));
+    let died = net.changed_to(State::Dead, healed).len();
+    println!(
+        "seed {seed} members {count}: converged {took:?} after a partition, {died} false deaths"
+    );
 }
 
-/// Loss of datagrams without any fault; what is suspected is suspected wrongly.
+/// Drops datagrams and injects no other fault, so that every suspicion is a false positive.
 fn losses(count: usize) {
     for loss in [0.01, 0.05, 0.1, 0.2] {
         let mut net = Net::fleet(1, count);
@@ -85,14 +87,14 @@
         let start = net.now;
         net.run(secs(300));
         let suspected: BTreeSet<String> = net
-            .became(State::Suspect, start)
+            .changed_to(State::Suspect, start)
             .into_iter()
             .map(|(_, _, of)| of)
             .collect();
-        let died = net.became(State::Dead, start).len();
+        let died = net.changed_to(State::Dead, start).len();
         println!(
-            "loss {loss}: {} of {count} members were suspected by somebody within 300 s, \
-             {died} times one was taken for dead",
+            "loss {loss}: {} of {count} members were suspected at least once within 300 s, \
+             {died} false deaths",
             suspected.len()
         );
     }
--- a/benches/path.rs
+++ b/benches/path.rs
@@ -1,6 +1,6 @@
-//! Processor time and memory of nodes that carry questions, on real processes:
-//! three nodes, eight stand-in engines, one load. Prints a slope for each
-//! question and one for each token; docs/CAPACITY.md multiplies them.
+//! CPU time and memory of nodes under load, with real processes: three nodes and eight stand-in
+//! engines. Prints the cost per question and per token, which docs/CAPACITY.md multiplies by the
+//! expected load.
 //!
 //! `cargo build --release --workspace && cargo bench --bench path`
 
@@ -20,17 +20,17 @@
 const NODES: usize = 3;
 const ENGINES: usize = 8;
 const RUNS: usize = 3;
-const LENGTH: Duration = Duration::from_secs(8);
-/// Clock ticks a second in the kernel's figures about a process.
-const TICKS: f64 = 100.0;
+const RUN_TIME: Duration = Duration::from_secs(8);
+/// Kernel clock ticks per second in /proc/PID/stat.
+const TICKS_PER_SECOND: f64 = 100.0;
 
-/// What a load brought about.
+/// Totals of one load run.
 #[derive(Debug, Default)]
 struct Sample {
     questions: f64,
     tokens: f64,
     refused: f64,
-    /// Processor seconds of all nodes.
+    /// CPU seconds of all nodes.
     cpu: f64,
     seconds: f64,
 }
@@ -55,7 +55,7 @@
             .filter_map(|field| field.parse::<f64>().ok())
             .sum::<f64>()
     };
-    nodes.iter().map(ticks).sum::<f64>() / TICKS
+    nodes.iter().map(ticks).sum::<f64>() / TICKS_PER_SECOND
 }
 
 fn rss_mib(node: &Process) -> f64 {
@@ -66,7 +66,7 @@
     kib / 1_024.0
 }
 
-/// Asks one question after the other until the time is over.
+/// Sends questions one after another until `end`, and counts the answers.
 async fn ask(server: SocketAddr, max_tokens: u32, number: usize, tally: Rc<Tally>, end: Instant) {
     let timeouts = Timeouts {
         connect: Duration::from_secs(2),
@@ -86,15 +86,15 @@
             actix_rt::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
-        let mut whole = false;
+        let mut is_complete = false;
         while let Ok(Some(piece)) = answer.next().await {
             if let Some(end) = piece.end {
-                whole = true;
+                is_complete = true;
                 add(&tally.tokens, u64::from(end.tokens));
             }
         }
         add(
-            if whole {
+            if is_complete {
                 &tally.questions
             } else {
                 &tally.refused
@@ -104,34 +104,35 @@
     }
 }
 
-fn load(fleet: &Fleet, at_a_time: usize, max_tokens: u32) -> Sample {
+fn load(fleet: &Fleet, concurrency: usize, max_tokens: u32) -> Sample {
     let servers: Vec<SocketAddr> = fleet
         .nodes
         .iter()
         .filter_map(|node| node.address("callers").parse().ok())
         .collect();
     let tally = Rc::new(Tally::default());
-    let begun = Instant::now();
+    let start = Instant::now();
     let before = cpu(&fleet.nodes);
     actix_rt::System::new().block_on(async {
-        let end = begun + LENGTH;
-        let asking = (0..at_a_time).map(|number| {
+        let end = start + RUN_TIME;
+        let callers = (0..concurrency).map(|number| {
             let server = servers[number % servers.len()];
             ask(server, max_tokens, number, Rc::clone(&tally), end)
         });
-        futures_util::future::join_all(asking).await;
+        futures_util::future::join_all(callers).await;
     });
     Sample {
         questions: tally.questions.get() as f64,
         tokens: tally.tokens.get() as f64,
         refused: tally.refused.get() as f64,
         cpu: cpu(&fleet.nodes) - before,
-        seconds: begun.elapsed().as_secs_f64(),
+        seconds: start.elapsed().as_secs_f64(),
     }
 }
 
-/// Solves for the cost of a question and of a token out of two loads.
-fn slopes(short: &Sample, long: &Sample, idle: f64) -> (f64, f64) {
+/// Returns the cost of a question and of a token in microseconds, from the linear equations of two
+/// load runs.
+fn unit_costs(short: &Sample, long: &Sample, idle: f64) -> (f64, f64) {
     let cost = |sample: &Sample| sample.cpu - idle * sample.seconds;
     let determinant = short.questions * long.tokens - long.questions * short.tokens;
     let question = (cost(short) * long.tokens - cost(long) * short.tokens) / determinant;
@@ -147,7 +148,7 @@
     for node in 0..NODES {
         fleet.node(&format!("zone-{node}"));
     }
-    fleet.settle(NODES);
+    fleet.await_members(NODES);
     fleet.configure();
     std::thread::sleep(Duration::from_secs(5));
     let start = cpu(&fleet.nodes);
@@ -159,12 +160,12 @@
         rss_mib(&fleet.nodes[0])
     );
     for run in 0..RUNS {
-        for at_a_time in [8, 32] {
-            let short = load(&fleet, at_a_time, 4);
-            let long = load(&fleet, at_a_time, 200);
-            let (question, token) = slopes(&short, &long, idle);
+        for concurrency in [8, 32] {
+            let short = load(&fleet, concurrency, 4);
+            let long = load(&fleet, concurrency, 200);
+            let (question, token) = unit_costs(&short, &long, idle);
             println!(
-                "run {run}, {at_a_time} at a time: {question:.0} us a question, {token:.1} us a \
+                "run {run}, {concurrency} at a time: {question:.0} us a question, {token:.1} us a \
                  token, both over gateway and dispatcher; {:.0} questions/s of 4 tokens, then \
                  {:.0} tokens/s in answers of 200; {} and {} refused; {:.1} MiB",
                 short.questions / short.seconds,
--- a/benches/route.rs
+++ b/benches/route.rs
@@ -1,6 +1,6 @@
-//! Processor time of a choice, from today's size to the one designed for.
+//! CPU time of selecting an endpoint, from the current fleet size up to the design size.
 
-#![allow(missing_docs)] // The group that the macro makes has none.
+#![allow(missing_docs)] // `criterion_group!` generates undocumented items.
 
 use std::hint::black_box;
 
@@ -25,11 +25,11 @@
         zone: zone(at).into(),
         services: vec!["notes".into()],
     }));
-    router.weigh("notes", 80);
+    router.set_latency_weight("notes", 80);
     router
 }
 
-/// One request's share of the router: choice, sending, first token, end.
+/// Runs the router's steps of one request: selection, send, first token and end.
 fn request(router: &mut Router, id: u64, blocks: &[u64]) {
     let now = Time::from_micros(id * 100);
     let query = Query {
--- a/src/config/watch.rs
+++ b/src/config/watch.rs
@@ -1,5 +1,5 @@
-//! The shell around [`Follower`]: reads the table, asks peers and publishes
-//! what may be acted by.
+//! Runs a [`Follower`]: reads the table, queries peers and publishes the
+//! configuration in force.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -11,7 +11,7 @@
 
 use super::Document;
 use super::commit::{Announce, Reach};
-use super::follow::{Action, Follower, Force, Input, Report};
+use super::follow::{Action, Follower, InForce, Input, Report};
 use super::row::{self, DOCUMENT_KEY, POINTER_KEY, Pointer};
 use crate::clock::Clock;
 use crate::event;
@@ -19,27 +19,27 @@
 use crate::snapshot::Cell;
 use crate::table::{Fault, Table};
 
-/// How often the decision is told that time has passed.
+/// Interval between ticks of the follower.
 const TICK: Duration = Duration::from_millis(500);
-/// Longest wait for acknowledgements of an announcement.
+/// Maximum wait for acknowledgements of an announcement.
 const ANNOUNCE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The other nodes, as far as the configuration needs them. Each method that
-/// asks a peer gives up by itself after a few seconds.
+/// Access to the other nodes. Each method that queries a peer times out by itself
+/// after a few seconds.
 pub trait Peers {
-    /// Every node but this one that has not said that it leaves and is still in
-    /// the platform's list, whether it can be heard or not.
+    /// Returns all other nodes that have not announced their departure and are
+    /// still on the platform's list, whether or not they are reachable.
     fn names(&self) -> Vec<Name>;
-    /// What the peer knows; none when it does not answer.
+    /// Queries a peer; `None` if it does not answer.
     async fn report(&self, peer: &str) -> Option<Report>;
-    /// The peer's document; none when it does not answer or has none.
+    /// Fetches the peer's document; `None` if it does not answer or has none.
     async fn document(&self, peer: &str) -> Option<Arc<Document>>;
-    /// Tells the peer that a version is about to be committed; true when it
-    /// has acknowledged.
+    /// Announces to the peer that a version is about to be committed; returns
+    /// true if it has acknowledged.
     async fn announce(&self, peer: &str, version: u64) -> bool;
 }
 
-/// A node that is alone, as in `try`.
+/// A node without peers, as in `try`.
 impl Peers for () {
     fn names(&self) -> Vec<Name> {
         Vec::new()
@@ -59,7 +59,7 @@
 }
 
 /// Follows the configuration on the control thread. Clones are handles to the
-/// same decision.
+/// same follower.
 #[derive(Debug)]
 pub struct Watch<T, P> {
     inner: Rc<Inner<T, P>>,
@@ -71,7 +71,7 @@
     peers: P,
     clock: Clock,
     follower: RefCell<Follower>,
-    force: Arc<Cell<Force>>,
+    force: Arc<Cell<InForce>>,
 }
 
 impl<T, P> Clone for Watch<T, P> {
@@ -87,8 +87,8 @@
     T: Table + 'static,
     P: Peers + 'static,
 {
-    /// A watch that publishes to `force`; it starts with [`Watch::run`].
-    pub fn new(node: &str, table: T, peers: P, clock: Clock, force: Arc<Cell<Force>>) -> Self {
+    /// Creates a watch that publishes to `force`; [`Watch::run`] starts it.
+    pub fn new(node: &str, table: T, peers: P, clock: Clock, force: Arc<Cell<InForce>>) -> Self {
         let follower = RefCell::new(Follower::new(clock.now(), node));
         Self {
             inner: Rc::new(Inner {
@@ -110,29 +110,33 @@
         }
     }
 
-    /// Notes that somebody mentioned a version.
-    pub fn hear(&self, version: u64) {
-        self.step(Input::Heard(version));
+    /// Records that a version was mentioned.
+    pub fn mention(&self, version: u64) {
+        self.step(Input::Mentioned(version));
     }
 
-    /// Notes that a peer is about to commit a version. The peer may be told so
-    /// once this has returned.
+    /// Records that a peer is about to commit a version. The announcement may be
+    /// acknowledged once this has returned.
     pub fn announced(&self, version: u64) {
         self.step(Input::Announced(version));
     }
 
-    /// Notes that this node has committed a document; `asked` is when it began.
-    pub fn committed(&self, asked: crate::clock::Time, document: Arc<Document>) {
-        self.step(Input::Committed { asked, document });
+    /// Records that this node committed a document; `requested_at` is the time at
+    /// which the commit was started.
+    pub fn committed(&self, requested_at: crate::clock::Time, document: Arc<Document>) {
+        self.step(Input::Committed {
+            requested_at,
+            document,
+        });
     }
 
-    /// The answer to a peer that asks.
+    /// Returns the answer to a query of a peer.
     pub fn report(&self) -> Report {
         self.inner.follower.borrow().report(self.inner.clock.now())
     }
 
-    /// What is in force, if its time has not run out.
-    pub fn force(&self) -> Force {
+    /// Returns the document in force and its expiry.
+    pub fn force(&self) -> InForce {
         self.inner.follower.borrow().force().clone()
     }
 
@@ -158,13 +162,13 @@
             Action::Fetch => {
                 actix_rt::spawn(async move { watch.fetch().await });
             }
-            Action::Ask(peer) => {
+            Action::Query(peer) => {
                 actix_rt::spawn(async move {
-                    let asked = watch.inner.clock.now();
+                    let requested_at = watch.inner.clock.now();
                     if let Some(report) = watch.inner.peers.report(&peer).await {
                         watch.step(Input::Answered {
                             peer,
-                            asked,
+                            requested_at,
                             report,
                         });
                     }
@@ -180,7 +184,7 @@
         }
     }
 
-    fn publish(&self, force: Force) {
+    fn publish(&self, force: InForce) {
         let before = self.inner.force.read().document.version;
         let version = force.document.version;
         if version != before {
@@ -193,7 +197,7 @@
     }
 
     async fn poll(&self) {
-        let asked = self.inner.clock.now();
+        let requested_at = self.inner.clock.now();
         let result = self.inner.table.get(POINTER_KEY).await;
         let result = match result {
             Ok(Some(found)) => row::decode::<Pointer>(&found.value)
@@ -205,11 +209,14 @@
         if let Err(fault) = &result {
             log::warn!("{} fault={fault:?}", event::CONFIG_UNREAD);
         }
-        self.step(Input::Polled { asked, result });
+        self.step(Input::Polled {
+            requested_at,
+            result,
+        });
     }
 
     async fn fetch(&self) {
-        let asked = self.inner.clock.now();
+        let requested_at = self.inner.clock.now();
         let result = self.inner.table.get(DOCUMENT_KEY).await;
         let result = match result {
             Ok(Some(found)) => row::decode::<Document>(&found.value)
@@ -221,7 +228,10 @@
         if let Err(fault) = &result {
             log::warn!("{} fault={fault:?}", event::CONFIG_UNREAD);
         }
-        self.step(Input::Fetched { asked, result });
+        self.step(Input::Fetched {
+            requested_at,
+            result,
+        });
     }
 }
 
@@ -234,20 +244,23 @@
         let names = self.inner.peers.names();
         let total = names.len() + 1;
         self.announced(version);
-        let mut heard = 1;
+        let mut acknowledged = 1;
         let asking: FuturesUnordered<_> = names
             .iter()
             .map(|name| self.inner.peers.announce(name, version))
             .collect();
         let timeout = Box::pin(actix_rt::time::sleep(ANNOUNCE_TIMEOUT));
-        let mut acknowledged = asking.take_until(timeout);
-        while heard * 2 < total {
-            match acknowledged.next().await {
-                Some(true) => heard += 1,
+        let mut answers = asking.take_until(timeout);
+        while acknowledged * 2 < total {
+            match answers.next().await {
+                Some(true) => acknowledged += 1,
                 Some(false) => {}
                 None => break,
             }
         }
-        Reach { heard, total }
+        Reach {
+            acknowledged,
+            total,
+        }
     }
 }
--- a/src/edge/node.rs
+++ b/src/edge/node.rs
@@ -1,4 +1,4 @@
-//! What the parts of one traffic thread share.
+//! State shared by the components of one traffic thread.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -11,48 +11,53 @@
 use crate::leave::Phase;
 use crate::member::View;
 use crate::name::Name;
-use crate::permit::Desk;
-use crate::quarantine::Ward;
+use crate::permit::Broker;
+use crate::quarantine::Detector;
 use crate::site::Site;
 use crate::snapshot::Cell;
 
 /// One traffic thread's view of its node.
 pub struct Node {
-    /// What the node was told at its start.
+    /// The settings that the node was started with.
     pub site: Arc<Site>,
     /// The node's availability zone.
     pub zone: Name,
-    /// The process's clock.
+    /// The process's monotonic clock.
     pub clock: Clock,
     /// Configuration and endpoints.
     pub catalog: Arc<Cell<Catalog>>,
     /// The members.
     pub view: Arc<Cell<View>>,
-    /// How far the node is in its life.
+    /// The node's lifecycle phase.
     pub phase: Arc<Cell<Phase>>,
-    /// Admission.
-    pub desk: Rc<Desk>,
-    /// The counters.
+    /// Admission control.
+    pub desk: Rc<Broker>,
+    /// The metrics.
     pub count: Count,
     /// The quarantine.
-    pub ward: Rc<Ward>,
+    pub ward: Rc<Detector>,
     /// The batch jobs.
     pub jobs: Rc<Jobs>,
 }
 
 impl Node {
-    /// True while this node may let keys through: in time, it would have heard of
-    /// a revocation.
-    pub fn is_sure(&self) -> bool {
+    /// True while this node may accept keys: its configuration is recent enough that a
+    /// revocation would have reached it in time.
+    pub fn accepts_keys(&self) -> bool {
         let catalog = self.catalog.read();
         let keyed = catalog
             .config
             .as_ref()
             .is_some_and(|it| it.keyring.is_some());
-        !keyed || identity::is_sure(&catalog, Uptime::now(), self.site.bounds.revoke)
+        !keyed
+            || identity::is_fresh(
+                &catalog,
+                Uptime::now(),
+                self.site.bounds.max_revocation_delay,
+            )
     }
 
-    /// True once the node was told to stop.
+    /// True once the node has begun to shut down.
     pub fn is_leaving(&self) -> bool {
         !matches!(**self.phase.read(), Phase::Starting | Phase::Serving)
     }
--- a/src/feed/source.rs
+++ b/src/feed/source.rs
@@ -1,13 +1,12 @@
-//! The other nodes' side: a feed that asks a reader, and the store where no
-//! reader can tell.
+//! Member side: a feed that queries a reader, and falls back on the store.
 
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::Told;
-use super::choice::{Choice, Fault};
+use super::Answer;
+use super::selector::{Fault, Selector};
 use crate::clock::{Clock, Uptime};
 use crate::edge::count::Count;
 use crate::event;
@@ -15,18 +14,17 @@
 use crate::member::View;
 use crate::name::Name;
 use crate::snapshot::Cell;
-use crate::table::{self, Changes, Feed, Lapse, Snapshot};
+use crate::table::{self, Changes, Feed, FeedError, Snapshot};
 use crate::wire::query::{Query, Reply};
 
-/// Longest wait for a reader's answer: it answers within 0.8 s, and a link delay
-/// comes on top. Two readers that are frozen at once cost twice this, which
-/// leaves time for a configuration to be in force within 3 s.
-const ANSWER: Duration = Duration::from_millis(950);
+/// Timeout of a query to a reader. A reader answers within 0.8 s, plus the link delay. Two frozen
+/// readers cost twice this timeout, which still allows a configuration to be in force within 3 s.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(950);
 
-/// Asks another member a question.
+/// Sends queries to other members.
 pub trait Ask {
-    /// The answer of the member whose link listens at `link`; none when none
-    /// came within `wait`.
+    /// Returns the answer of the member whose link listens at `link`; none when there was no
+    /// answer within `wait`.
     async fn ask(&self, link: &Name, query: Query, wait: Duration) -> Option<Reply>;
 }
 
@@ -36,7 +34,7 @@
     }
 }
 
-/// What a [`Source`] works with.
+/// Dependencies of a [`Source`].
 pub struct Setup {
     /// This process's name among the members.
     pub me: Name,
@@ -50,12 +48,12 @@
     pub count: Count,
 }
 
-/// Follows tables over readers.
+/// Follows tables by querying readers.
 pub struct Source<F, A> {
     store: F,
     links: A,
     setup: Setup,
-    choice: RefCell<Choice>,
+    selector: RefCell<Selector>,
 }
 
 impl<F, A> Source<F, A>
@@ -63,25 +61,25 @@
     F: Feed,
     A: Ask,
 {
-    /// A source that falls back on `store`.
+    /// Creates a source that falls back on `store`.
     pub fn new(store: F, links: A, setup: Setup) -> Self {
         Self {
             store,
             links,
             setup,
-            choice: RefCell::default(),
+            selector: RefCell::default(),
         }
     }
 
-    /// What a reader tells; none when the store is to be asked.
+    /// Returns the changes from a reader; none when the store has to be read.
     async fn ask(&self, table: &str, version: u64) -> Option<Changes> {
         loop {
             let setup = &self.setup;
             let (name, link) = {
                 let view = setup.view.read();
                 let now = setup.clock.now();
-                let choice = self.choice.borrow();
-                let reader = choice.reader(now, &setup.me, &setup.zone, &view)?;
+                let selector = self.selector.borrow();
+                let reader = selector.reader(now, &setup.me, &setup.zone, &view)?;
                 (reader.name.clone(), reader.link.clone())
             };
             let query = Query::Changes {
@@ -89,20 +87,20 @@
                 after: version,
             };
             let sent = Uptime::now();
-            let (fault, why) = match self.links.ask(&link, query, ANSWER).await {
-                Some(Reply::Changes(Told::Changes(mut changes))) => {
-                    if follows(version, &changes) {
+            let (fault, why) = match self.links.ask(&link, query, QUERY_TIMEOUT).await {
+                Some(Reply::Changes(Answer::Changes(mut changes))) => {
+                    if is_continuation(version, &changes) {
                         changes.asked = changes.asked_ago.map(|ago| sent - ago);
                         setup.count.feed("told");
                         return Some(changes);
                     }
                     (Fault::Wrong, "wrong")
                 }
-                Some(Reply::Changes(Told::Gap)) => {
+                Some(Reply::Changes(Answer::Gap)) => {
                     setup.count.feed("gap");
                     return None;
                 }
-                Some(Reply::Changes(Told::Stale)) => (Fault::Stale, "stale"),
+                Some(Reply::Changes(Answer::Stale)) => (Fault::Stale, "stale"),
                 None | Some(Reply::Busy) => (Fault::Silent, "silent"),
                 Some(_) => (Fault::Wrong, "foreign"),
             };
@@ -112,16 +110,15 @@
                 event::FEED_PASSED_OVER
             );
             let now = setup.clock.now();
-            self.choice.borrow_mut().avoid(now, &name, fault);
+            self.selector.borrow_mut().avoid(now, &name, fault);
         }
     }
 }
 
-/// True when an answer can be what followed on `version`: nothing in it is older
-/// than what was known, newer than it says itself, or out of order. A reader
-/// that lags or garbles would otherwise take this node a step back, or make it
-/// miss a change for good.
-fn follows(version: u64, changes: &Changes) -> bool {
+/// True when an answer is a possible continuation of `version`: no change in it is outdated, newer
+/// than the answer's own version, or out of order. Otherwise a lagging or faulty reader could
+/// revert this node to an older state, or make it miss a change permanently.
+fn is_continuation(version: u64, changes: &Changes) -> bool {
     let mut last = version;
     let in_order = changes.changes.iter().all(|change| {
         let follows = change.version > version && change.version >= last;
@@ -140,7 +137,12 @@
         self.store.snapshot(table).await
     }
 
-    async fn changes(&self, table: &str, version: u64, wait: Duration) -> Result<Changes, Lapse> {
+    async fn changes(
+        &self,
+        table: &str,
+        version: u64,
+        wait: Duration,
+    ) -> Result<Changes, FeedError> {
         if let Some(changes) = self.ask(table, version).await {
             return Ok(changes);
         }
--- a/src/lease/keep.rs
+++ b/src/lease/elector.rs
@@ -1,4 +1,4 @@
-//! The shell around a [`Claim`]: reads and writes the row.
+//! Runs a [`Claim`]: reads and writes its row in the table.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -9,12 +9,13 @@
 use crate::event;
 use crate::table::Table;
 
-/// How often the decision is told that time has passed.
+/// Interval between ticks of the claim.
 const TICK: Duration = Duration::from_millis(200);
 
-/// Keeps one claim on the control thread. Clones are handles to the same claim.
+/// Contends for one lease on the control thread. Clones are handles to the same
+/// claim.
 #[derive(Debug)]
-pub struct Keeper<T> {
+pub struct Elector<T> {
     inner: Rc<Inner<T>>,
 }
 
@@ -26,7 +27,7 @@
     claim: RefCell<Claim>,
 }
 
-impl<T> Clone for Keeper<T> {
+impl<T> Clone for Elector<T> {
     fn clone(&self) -> Self {
         Self {
             inner: Rc::clone(&self.inner),
@@ -34,11 +35,11 @@
     }
 }
 
-impl<T> Keeper<T>
+impl<T> Elector<T>
 where
     T: Table + 'static,
 {
-    /// A keeper that starts with [`Keeper::run`].
+    /// Creates an elector; [`Elector::run`] starts it.
     pub fn new(table: T, clock: Clock, setting: Setting) -> Self {
         Self {
             inner: Rc::new(Inner {
@@ -58,12 +59,13 @@
         }
     }
 
-    /// Says whether this node wants the lease; not wanting it releases it.
+    /// Sets whether this node contends for the lease; ceasing to contend releases
+    /// it.
     pub fn contend(&self, contend: bool) {
         self.step(Input::Contend(contend));
     }
 
-    /// The lease, while it may be acted under.
+    /// Returns the lease while it is valid.
     pub fn held(&self) -> Option<Held> {
         self.inner.claim.borrow().held(self.inner.clock.now())
     }
@@ -78,19 +80,19 @@
     }
 
     fn act(&self, action: Action) {
-        let keeper = self.clone();
+        let elector = self.clone();
         let key = &self.inner.key;
         match action {
             Action::Read(token) => {
                 actix_rt::spawn(async move {
-                    let result = keeper.inner.table.get(&keeper.inner.key).await;
-                    keeper.step(Input::Read { token, result });
+                    let result = elector.inner.table.get(&elector.inner.key).await;
+                    elector.step(Input::Read { token, result });
                 });
             }
             Action::Write(token, transaction) => {
                 actix_rt::spawn(async move {
-                    let result = keeper.inner.table.transact(transaction).await;
-                    keeper.step(Input::Wrote { token, result });
+                    let result = elector.inner.table.transact(transaction).await;
+                    elector.step(Input::Wrote { token, result });
                 });
             }
             Action::Gained(epoch) => {
--- a/src/leave.rs
+++ b/src/leave.rs
@@ -1,143 +1,148 @@
-//! How a node leaves: what it stops doing when, and when it may end.
+//! Graceful shutdown of a node: in which order it stops its tasks, and when it
+//! may exit.
 //!
-//! docs/design/leaving.md weighs the ways and defines what happens on a second
-//! signal, during start, during an outage and when the limit passes.
+//! docs/design/leaving.md compares the alternatives and defines what happens on a
+//! second signal, during start, during an outage and when the time limit passes.
 
 use std::time::Duration;
 
 use crate::clock::Time;
 
-/// Where a node is in its life.
+/// Lifecycle phase of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It does not answer callers yet.
+    /// Does not serve callers yet.
     Starting,
-    /// It does everything.
+    /// In full operation.
     Serving,
-    /// Others are told; callers with a cached address are still served.
+    /// The departure is announced; callers with a cached address are still
+    /// served.
     Leaving,
-    /// No caller may hold its address any more; what is in flight ends.
+    /// All cached addresses have expired; in-flight requests complete.
     Closing,
-    /// The limit passed; what is in flight gets its final answer.
+    /// The time limit has passed; in-flight requests get their final answer.
     Cutting,
-    /// It ends.
+    /// The process exits.
     Ended,
 }
 
-/// How much is going on.
+/// Outstanding work of a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Work {
-    /// Questions that came from callers and are not answered.
-    pub questions: usize,
+    /// Unanswered requests from callers.
+    pub requests: usize,
     /// Requests admitted to endpoints for other nodes.
     pub dispatched: usize,
-    /// Chunks of batch jobs that are held.
+    /// Held chunks of batch jobs.
     pub chunks: usize,
-    /// Items of those chunks that run at an endpoint.
+    /// Items of those chunks that are running at an endpoint.
     pub items: usize,
 }
 
-/// What happened.
+/// An input of the shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Input {
     /// The node is ready to serve.
     Started,
     /// SIGTERM, the first SIGINT, or an operator's Drain.
     Stop,
-    /// A second SIGINT: a person at a terminal will not wait.
-    Hurry,
-    /// Time passed, and this is going on.
+    /// A second SIGINT, sent by an operator at a terminal: shut down without
+    /// waiting.
+    ForceStop,
+    /// Time has passed; this work is outstanding.
     Tick(Work),
 }
 
-/// What is to be done, in this order.
+/// Actions that the caller must carry out in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Tell the members; that takes this node out of Locate everywhere.
+    /// Announce the departure to the members, which removes this node from Locate
+    /// answers everywhere.
     Announce,
-    /// Claim no chunk, and start no item of those held.
+    /// Claim no more chunks, and start no more items of the held ones.
     StopClaiming,
-    /// Give queued requests back as not run, so that their gateways go to the
-    /// endpoints' next dispatchers. Those that run at an endpoint go on.
+    /// Return queued requests as not run, so that their gateways send them to the
+    /// endpoints' next dispatchers. Requests that are running at an endpoint
+    /// continue.
     HandOver,
-    /// Write what the held chunks have, and give their leases up. It comes
-    /// again, with pauses, while chunks are still held.
+    /// Write the results of the held chunks and release their leases. Repeated at
+    /// intervals while chunks are still held.
     ReleaseChunks,
-    /// Refuse new questions as not run: use another address.
-    RefuseQuestions,
-    /// Give everything in flight its final answer now.
-    CutOff,
-    /// Tell the members goodbye and end the process.
-    Exit(Ending),
+    /// Reject new requests as not run, so that callers use another address.
+    RejectRequests,
+    /// Give all in-flight requests their final answer now.
+    AbortAll,
+    /// Announce the exit to the members and end the process.
+    Exit(Summary),
 }
 
-/// How it ended.
+/// Result of the shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ending {
-    /// Questions and dispatched requests that were cut short.
-    pub cut: usize,
-    /// Chunks whose leases could not be given up; they run out by themselves.
+pub struct Summary {
+    /// Client and dispatched requests that were aborted.
+    pub aborted: usize,
+    /// Chunks whose leases could not be released and will expire.
     pub chunks: usize,
 }
 
-impl Ending {
-    /// True when nobody was harmed.
+impl Summary {
+    /// Returns true if no request was aborted.
     pub const fn is_clean(self) -> bool {
-        self.cut == 0
+        self.aborted == 0
     }
 }
 
-/// The times of a planned stop.
+/// Time limits of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Times {
-    /// How long until every node knows that this one is leaving.
-    pub spread: Duration,
-    /// How long callers may keep an address; see [`crate::locate::KEEP`].
-    pub keep: Duration,
-    /// How long running items of held chunks may take to end.
-    pub items: Duration,
-    /// Time between attempts to give chunks up.
-    pub retry: Duration,
-    /// How long a node with nothing but chunks waits for the platform. Their
-    /// leases run out anyway; a longer wait gains nothing.
-    pub release: Duration,
-    /// Longest time from the stop until what is in flight is cut off.
+    /// Time until every node has received the announcement.
+    pub propagation: Duration,
+    /// How long callers may cache an address; see [`crate::locate::ADDRESS_TTL`].
+    pub address_ttl: Duration,
+    /// How long running items of held chunks may take to complete.
+    pub item_grace: Duration,
+    /// Interval between attempts to release chunks.
+    pub release_interval: Duration,
+    /// How long a node that holds only chunks waits for the platform. Their
+    /// leases expire anyway, so a longer wait gains nothing.
+    pub release_timeout: Duration,
+    /// Time from the stop until in-flight requests are aborted.
     pub limit: Duration,
     /// How long final answers may take to reach their callers.
-    pub answers: Duration,
+    pub flush_grace: Duration,
 }
 
 impl Default for Times {
     fn default() -> Self {
         Self {
-            spread: Duration::from_secs(3),
-            keep: crate::locate::KEEP,
-            items: Duration::from_secs(5),
-            retry: Duration::from_secs(2),
-            release: Duration::from_secs(20),
+            propagation: Duration::from_secs(3),
+            address_ttl: crate::locate::ADDRESS_TTL,
+            item_grace: Duration::from_secs(5),
+            release_interval: Duration::from_secs(2),
+            release_timeout: Duration::from_secs(20),
             limit: Duration::from_secs(120),
-            answers: Duration::from_secs(1),
+            flush_grace: Duration::from_secs(1),
         }
     }
 }
 
-/// The leaving of one node.
+/// The graceful shutdown of one node.
 #[derive(Clone, Debug)]
 pub struct Leave {
     times: Times,
     phase: Phase,
-    /// When it was told to stop.
+    /// Time of the stop request.
     stopped: Time,
-    /// When only chunks were left.
+    /// Time since which only chunks are left.
     idle: Option<Time>,
-    /// When giving up chunks was tried last.
+    /// Time of the last attempt to release chunks.
     released: Option<Time>,
-    /// When and how much was cut off.
-    cut: Option<(Time, usize)>,
+    /// Time of the abort and number of aborted requests.
+    aborted: Option<(Time, usize)>,
 }
 
 impl Leave {
-    /// A node that starts.
+    /// Creates the state of a node that is starting.
     pub const fn new(times: Times) -> Self {
         Self {
             times,
@@ -145,36 +150,40 @@
             stopped: Time::ZERO,
             idle: None,
             released: None,
-            cut: None,
+            aborted: None,
         }
     }
 
-    /// Where the node is in its life.
+    /// Returns the lifecycle phase of the node.
     pub const fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Takes one input and says what is to be done.
+    /// Handles one input and returns the resulting actions.
     pub fn step(&mut self, now: Time, input: Input) -> Vec<Action> {
         match (self.phase, input) {
             (Phase::Starting, Input::Started) => {
                 self.phase = Phase::Serving;
                 Vec::new()
             }
-            (Phase::Starting, Input::Stop | Input::Hurry) => {
-                // Nobody was told of this node, so there is nobody to tell.
-                self.end(Ending { cut: 0, chunks: 0 })
+            (Phase::Starting, Input::Stop | Input::ForceStop) => {
+                // The node was never announced, so there is no departure to
+                // announce.
+                self.end(Summary {
+                    aborted: 0,
+                    chunks: 0,
+                })
             }
-            (Phase::Serving, Input::Stop | Input::Hurry) => self.begin(now),
-            (Phase::Leaving | Phase::Closing, Input::Hurry) => {
+            (Phase::Serving, Input::Stop | Input::ForceStop) => self.begin(now),
+            (Phase::Leaving | Phase::Closing, Input::ForceStop) => {
                 self.stopped = now - self.times.limit;
                 Vec::new()
             }
             (Phase::Leaving | Phase::Closing | Phase::Cutting, Input::Tick(work)) => {
                 self.tick(now, work)
             }
-            // A platform that repeats SIGTERM must not cut answers short, so a
-            // second Stop does nothing.
+            // A platform that repeats SIGTERM must not abort requests, so a
+            // second Stop has no effect.
             (
                 Phase::Starting
                 | Phase::Serving
@@ -197,55 +206,56 @@
         let mut actions = Vec::new();
         let passed = now.since(self.stopped);
         self.release(now, work, passed, &mut actions);
-        if self.phase == Phase::Leaving && passed >= self.times.spread + self.times.keep {
-            // Whoever comes now holds the address longer than it was told. Were
-            // it served on and on, the node could never end.
+        if self.phase == Phase::Leaving && passed >= self.times.propagation + self.times.address_ttl
+        {
+            // A caller that arrives now has cached the address beyond its TTL. If
+            // such callers were served, the node could never exit.
             self.phase = Phase::Closing;
-            actions.push(Action::RefuseQuestions);
+            actions.push(Action::RejectRequests);
         }
-        let running = work.questions + work.dispatched;
+        let running = work.requests + work.dispatched;
         if self.phase != Phase::Cutting && passed >= self.times.limit {
             self.phase = Phase::Cutting;
-            self.cut = Some((now, running));
-            actions.push(Action::RefuseQuestions);
-            actions.push(Action::CutOff);
+            self.aborted = Some((now, running));
+            actions.push(Action::RejectRequests);
+            actions.push(Action::AbortAll);
             return actions;
         }
-        if let Some(ending) = self.ending(now, work, running) {
-            actions.extend(self.end(ending));
+        if let Some(summary) = self.summary(now, work, running) {
+            actions.extend(self.end(summary));
         }
         actions
     }
 
-    /// Gives chunks up once their running items ended or had their time.
+    /// Releases chunks once their running items have completed or timed out.
     fn release(&mut self, now: Time, work: Work, passed: Duration, actions: &mut Vec<Action>) {
-        let ready = work.items == 0 || passed >= self.times.items;
+        let ready = work.items == 0 || passed >= self.times.item_grace;
         let due = self
             .released
-            .is_none_or(|last| now.since(last) >= self.times.retry);
+            .is_none_or(|last| now.since(last) >= self.times.release_interval);
         if work.chunks > 0 && ready && due {
             self.released = Some(now);
             actions.push(Action::ReleaseChunks);
         }
     }
 
-    fn ending(&mut self, now: Time, work: Work, running: usize) -> Option<Ending> {
+    fn summary(&mut self, now: Time, work: Work, running: usize) -> Option<Summary> {
         let chunks = work.chunks;
-        if let Some((at, cut)) = self.cut {
-            let over = running == 0 && chunks == 0 || now.since(at) >= self.times.answers;
-            return over.then_some(Ending { cut, chunks });
+        if let Some((at, aborted)) = self.aborted {
+            let over = running == 0 && chunks == 0 || now.since(at) >= self.times.flush_grace;
+            return over.then_some(Summary { aborted, chunks });
         }
         if self.phase != Phase::Closing || running > 0 {
             self.idle = None;
             return None;
         }
         let idle = *self.idle.get_or_insert(now);
-        let waited = now.since(idle) >= self.times.release;
-        (chunks == 0 || waited).then_some(Ending { cut: 0, chunks })
+        let waited = now.since(idle) >= self.times.release_timeout;
+        (chunks == 0 || waited).then_some(Summary { aborted: 0, chunks })
     }
 
-    fn end(&mut self, ending: Ending) -> Vec<Action> {
+    fn end(&mut self, summary: Summary) -> Vec<Action> {
         self.phase = Phase::Ended;
-        vec![Action::Exit(ending)]
+        vec![Action::Exit(summary)]
     }
 }
--- /dev/null
+++ b/src/limit/coordinator.rs
@@ -0,0 +1,311 @@
+//! The node that counts an organisation's requests on behalf of all nodes.
+//!
+//! The member that a shard of organisations is assigned to holds their token buckets. Each
+//! request is counted there while the pool looks for an endpoint, so that the limit is exact
+//! without added latency. All of it is soft state. When the coordinator changes, a bucket that
+//! starts full would grant a second burst at each change, and one that starts empty would
+//! refuse requests below the limit. Gateways therefore send with each query the level that
+//! another coordinator last returned, and a new bucket starts from it.
+
+use std::collections::{HashMap, VecDeque};
+use std::time::Duration;
+
+use serde::{Deserialize, Serialize};
+use xxhash_rust::xxh3::xxh3_64_with_seed;
+
+use super::allowance::{Allowance, Source};
+use super::{Rate, Tolerance};
+use crate::clock::Time;
+use crate::name::Name;
+use crate::pool::Key;
+
+/// How long a token can be refunded and a query be repeated: longer than a request may wait for
+/// an endpoint.
+const TOKEN_TTL: Duration = Duration::from_secs(6);
+/// Idle time after which an organisation is evicted; its bucket is certainly full again by then.
+const ACCOUNT_TTL: Duration = Duration::from_secs(120);
+/// Tokens of a new bucket without history.
+const INITIAL_TOKENS: f64 = 1.0;
+/// Uptime after which a process has found the members, or is really the only one.
+const SETTLE_TIME: Duration = Duration::from_secs(2);
+/// A new process has found all members once their number has not changed for this long, since
+/// members gossip every 100 ms.
+const STABLE_TIME: Duration = Duration::from_millis(150);
+/// One in this many processes that have just started lets an organisation's first request
+/// through.
+const UNSETTLED_ONE_IN: u64 = 12;
+
+/// Query of a gateway about one request.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct Query {
+    /// The organisation.
+    #[serde(rename = "o")]
+    pub organisation: Name,
+    /// Its limit in that version of the configuration.
+    #[serde(rename = "l")]
+    pub rate: Rate,
+    /// The version of the configuration; the newest received one applies.
+    #[serde(rename = "v")]
+    pub version: u64,
+    /// The level that another coordinator last returned.
+    #[serde(rename = "h", default, skip_serializing_if = "Option::is_none")]
+    pub hint: Option<Hint>,
+}
+
+/// Token level at another coordinator.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+pub struct Hint {
+    /// The tokens.
+    #[serde(rename = "t")]
+    pub tokens: f64,
+    /// How long ago that coordinator returned it.
+    #[serde(rename = "a")]
+    pub age: Duration,
+}
+
+/// Decision of a coordinator about one request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum Decision {
+    /// The request is counted and may run.
+    #[serde(rename = "p")]
+    Allow,
+    /// The request is over the limit; a token is available after this time.
+    #[serde(rename = "o")]
+    Deny(Duration),
+    /// The coordinator has just started and can't decide.
+    #[serde(rename = "u")]
+    Unsettled,
+    /// The coordinator is this node, and it is isolated from the others of this many nodes.
+    #[serde(rename = "a")]
+    Isolated(usize),
+}
+
+/// Answer of a coordinator.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+pub struct Answer {
+    /// The decision about the request.
+    #[serde(rename = "r")]
+    pub decision: Decision,
+    /// Tokens left.
+    #[serde(rename = "t")]
+    pub tokens: f64,
+}
+
+struct Account {
+    allowance: Allowance,
+    rate: Rate,
+    version: u64,
+    last_query: Time,
+    /// Requests that were let through, for [`TOKEN_TTL`].
+    passed: HashMap<Key, (Time, Source)>,
+    order: VecDeque<Key>,
+}
+
+/// Period in which queries of a shard arrived here.
+#[derive(Clone, Copy)]
+struct Term {
+    first_query: Time,
+    last_query: Time,
+}
+
+/// Counts the requests of organisations on behalf of all nodes.
+pub struct Coordinator {
+    started: Time,
+    tolerance: Tolerance,
+    terms: HashMap<u64, Term>,
+    settled: bool,
+    /// Requests that were let through before settling, one per organisation.
+    early: HashMap<Name, Key>,
+    /// Number of nodes in the membership view, and the time of its last change.
+    nodes: usize,
+    changed: Time,
+    accounts: HashMap<Name, Account>,
+}
+
+impl Coordinator {
+    /// Creates a coordinator without accounts, in a process that started at `started`.
+    pub fn new(started: Time, tolerance: Tolerance) -> Self {
+        Self {
+            started,
+            tolerance,
+            terms: HashMap::new(),
+            settled: false,
+            early: HashMap::new(),
+            nodes: 0,
+            changed: started,
+            accounts: HashMap::new(),
+        }
+    }
+
+    /// Sets the number of nodes in the membership view, including this one. Until it has found
+    /// the others, the coordinator does not answer their queries and lets almost nothing
+    /// through: when all nodes restart at once, each considers itself, or one of the few that
+    /// it has found, the coordinator of every limit, and together they would let a multiple
+    /// of it through.
+    pub fn set_node_count(&mut self, now: Time, nodes: usize) {
+        if nodes != self.nodes {
+            self.nodes = nodes;
+            self.changed = now;
+        }
+        let stable = nodes > 1 && now.since(self.changed) >= STABLE_TIME;
+        self.settled |= stable || now.since(self.started) >= SETTLE_TIME;
+    }
+
+    /// True when it answers queries of other nodes.
+    pub fn is_settled(&self) -> bool {
+        self.settled
+    }
+
+    /// Counts a request. Idempotent: a repeated query for the same request is counted once.
+    pub fn take(&mut self, now: Time, key: Key, query: &Query) -> Answer {
+        if !self.settled {
+            return self.take_early(key, query);
+        }
+        let tolerance = self.tolerance;
+        let has_history = self.has_history(now, &query.organisation);
+        let account = self
+            .accounts
+            .entry(query.organisation.clone())
+            .or_insert_with(|| {
+                let first =
+                    (!has_history).then(|| INITIAL_TOKENS + tolerance.initial_excess(query.rate));
+                Account::new(now, first, tolerance, query)
+            });
+        account.last_query = now;
+        account.update(now, tolerance, query);
+        account.evict_tokens(now);
+        let decision = match account.take(now, key) {
+            Ok(()) => Decision::Allow,
+            Err(wait) => Decision::Deny(wait),
+        };
+        Answer {
+            decision,
+            tokens: account.allowance.level(now),
+        }
+    }
+
+    /// Lets an organisation's first request through at some of the processes that have not
+    /// found the members yet.
+    fn take_early(&mut self, key: Key, query: &Query) -> Answer {
+        let first = match self.early.get(&query.organisation) {
+            Some(first) => Some(*first),
+            None if is_chosen(key, query) => {
+                self.early.insert(query.organisation.clone(), key);
+                Some(key)
+            }
+            None => None,
+        };
+        let decision = if first == Some(key) {
+            Decision::Allow
+        } else {
+            Decision::Unsettled
+        };
+        Answer {
+            decision,
+            tokens: 0.0,
+        }
+    }
+
+    /// True when this node has coordinated the organisation's shard for a whole window, or
+    /// would have, because the number of nodes has not changed for that long: its history is
+    /// then complete. Otherwise another node may already have let the limit through.
+    fn has_history(&mut self, now: Time, organisation: &str) -> bool {
+        let window = self.tolerance.window;
+        let term = self
+            .terms
+            .entry(super::shard(organisation))
+            .or_insert(Term {
+                first_query: now,
+                last_query: now,
+            });
+        if now.since(term.last_query) > window {
+            term.first_query = now;
+        }
+        term.last_query = now;
+        now.since(term.first_query) >= window || now.since(self.changed) >= window
+    }
+
+    /// Returns the token of a request that was let through and did not run.
+    pub fn refund(&mut self, now: Time, key: Key, organisation: &Name) {
+        let Some(account) = self.accounts.get_mut(organisation) else {
+            return;
+        };
+        if let Some((_, source)) = account.passed.remove(&key) {
+            account.allowance.refund(now, source);
+        }
+    }
+
+    /// Evicts organisations without recent queries.
+    pub fn sweep(&mut self, now: Time) {
+        self.accounts
+            .retain(|_, account| now.since(account.last_query) < ACCOUNT_TTL);
+    }
+
+    /// Returns the number of organisations that it counts for.
+    pub fn len(&self) -> usize {
+        self.accounts.len()
+    }
+
+    /// True when it counts for none.
+    pub fn is_empty(&self) -> bool {
+        self.accounts.is_empty()
+    }
+}
+
+/// True for one in [`UNSETTLED_ONE_IN`] gateways and organisations. While all nodes have just
+/// started, each of them may receive an organisation's first request.
+fn is_chosen(key: Key, query: &Query) -> bool {
+    let seed = key.gateway.port().into();
+    let address = key.gateway.ip().to_string();
+    let mixed = xxh3_64_with_seed(address.as_bytes(), seed);
+    xxh3_64_with_seed(query.organisation.as_bytes(), mixed).is_multiple_of(UNSETTLED_ONE_IN)
+}
+
+impl Account {
+    fn new(now: Time, first: Option<f64>, tolerance: Tolerance, query: &Query) -> Self {
+        Self {
+            allowance: Allowance::new(now, query.rate, tolerance, first),
+            rate: query.rate,
+            version: query.version,
+            last_query: now,
+            passed: HashMap::new(),
+            order: VecDeque::new(),
+        }
+    }
+
+    /// Applies the newest limit, and the level of another coordinator.
+    fn update(&mut self, now: Time, tolerance: Tolerance, query: &Query) {
+        if query.version > self.version {
+            self.version = query.version;
+            if query.rate != self.rate {
+                self.rate = query.rate;
+                self.allowance.resize(now, self.rate, tolerance);
+            }
+        }
+        if let Some(Hint { tokens, age }) = query.hint {
+            let since = self.rate.per_second * age.as_secs_f64();
+            self.allowance.cap(now, tokens + since);
+        }
+    }
+
+    fn take(&mut self, now: Time, key: Key) -> Result<(), Duration> {
+        if self.passed.contains_key(&key) {
+            return Ok(());
+        }
+        let source = self.allowance.take(now)?;
+        self.passed.insert(key, (now, source));
+        self.order.push_back(key);
+        Ok(())
+    }
+
+    fn evict_tokens(&mut self, now: Time) {
+        while let Some(key) = self.order.front() {
+            match self.passed.get(key) {
+                Some((at, _)) if now.since(*at) < TOKEN_TTL => return,
+                _ => {}
+            }
+            self.passed.remove(key);
+            self.order.pop_front();
+        }
+    }
+}
--- a/src/once/group.rs
+++ b/src/once/group.rs
@@ -1,4 +1,4 @@
-//! What became of marks that were inserted by one transaction.
+//! State of marks that are inserted by one transaction.
 
 use std::time::Duration;
 
@@ -6,34 +6,34 @@
 
 use crate::table::Fault;
 
-/// Most marks of one transaction.
+/// Limit on the marks of one transaction.
 pub const MAX_MARKS: usize = 64;
-/// Lost answers after which the rest of a group is given up.
-const MAX_LOST: u32 = 5;
+/// Number of lost answers after which the pending marks of a group are abandoned.
+const MAX_LOST_ANSWERS: u32 = 5;
 
-/// What became of one mark.
+/// Result of inserting a mark.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
-    /// It is there, and ours: the request may be sent.
+pub enum Status {
+    /// The mark was inserted by this node: the request may be sent.
     Marked,
-    /// Another one was there before.
-    Taken,
-    /// It is not there and will not be; come back after this long.
+    /// Another mark of the same key existed before.
+    Exists,
+    /// The mark was not inserted and will not be; retry after this delay.
     Refused(Duration),
-    /// It may be there. Nobody may send the request.
-    Unsure,
+    /// The mark may exist. The request must not be sent.
+    Unknown,
 }
 
-/// What to do next.
+/// Next step of the insertion.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// Go on with [`Group::open`].
-    Go,
-    /// Read this row, and tell what it has.
+pub enum Step {
+    /// Continue with [`Group::pending`].
+    Continue,
+    /// Read this row, and pass its value to [`Group::apply_row`].
     Read(String),
 }
 
-/// Marks that are inserted together.
+/// Marks that are inserted by one transaction.
 #[derive(Clone, Debug)]
 pub struct Group {
     marks: Vec<Mark>,
@@ -44,14 +44,14 @@
 struct Mark {
     row: String,
     token: String,
-    fate: Option<Fate>,
+    status: Option<Status>,
 }
 
 impl Group {
-    /// A group of rows with the token that tells each from everybody else's.
+    /// Creates a group from row keys, each with a token that is unique to this insertion.
     ///
-    /// Two marks of the same row in one group are two requests with the same
-    /// key: the first may be sent, the others may not.
+    /// Several marks of the same row belong to requests with the same key: the first may be
+    /// sent, the others may not.
     pub fn new<M>(marks: M) -> Self
     where
         M: IntoIterator<Item = (String, String)>,
@@ -62,7 +62,7 @@
             group.push(Mark {
                 row,
                 token,
-                fate: taken.then_some(Fate::Taken),
+                status: taken.then_some(Status::Exists),
             });
         }
         Self {
@@ -71,65 +71,65 @@
         }
     }
 
-    /// The marks to insert next, if any is left.
-    pub fn open(&self) -> Option<Vec<(String, String)>> {
-        let open = self.marks.iter().filter(|mark| mark.fate.is_none());
-        let open: Vec<_> = open
+    /// Returns the marks that are still to be inserted, if any.
+    pub fn pending(&self) -> Option<Vec<(String, String)>> {
+        let pending = self.marks.iter().filter(|mark| mark.status.is_none());
+        let pending: Vec<_> = pending
             .map(|mark| (mark.row.clone(), mark.token.clone()))
             .collect();
-        (!open.is_empty()).then_some(open)
+        (!pending.is_empty()).then_some(pending)
     }
 
-    /// Takes the answer to the transaction of all open marks.
-    pub fn answered(&mut self, answer: &Result<u64, Fault>) -> Verdict {
+    /// Applies the answer to the transaction of all pending marks.
+    pub fn apply_answer(&mut self, answer: &Result<u64, Fault>) -> Step {
         match answer {
-            Ok(_) => self.settle(Fate::Marked),
-            Err(Fault::Conflict { key, .. }) => return Verdict::Read(key.clone()),
+            Ok(_) => self.settle(Status::Marked),
+            Err(Fault::Conflict { key, .. }) => return Step::Read(key.clone()),
             Err(Fault::Refused { retry_after }) if self.lost == 0 => {
-                self.settle(Fate::Refused(*retry_after));
+                self.settle(Status::Refused(*retry_after));
             }
-            // An earlier try may have taken effect, so the refusal of this one
-            // does not say that the mark is not there.
-            Err(Fault::Refused { .. }) => self.settle(Fate::Unsure),
+            // An earlier attempt may have taken effect, so this refusal does not prove that the
+            // mark is absent.
+            Err(Fault::Refused { .. }) => self.settle(Status::Unknown),
             Err(Fault::Unknown) => {
                 self.lost += 1;
-                if self.lost >= MAX_LOST {
-                    self.settle(Fate::Unsure);
+                if self.lost >= MAX_LOST_ANSWERS {
+                    self.settle(Status::Unknown);
                 }
             }
         }
-        Verdict::Go
+        Step::Continue
     }
 
-    /// Takes what the row has whose mark was in conflict.
-    pub fn read(&mut self, row: &str, found: &Result<Option<Bytes>, Fault>) {
+    /// Applies the value of the row that was in conflict.
+    pub fn apply_row(&mut self, row: &str, found: &Result<Option<Bytes>, Fault>) {
         let Some(mark) = self
             .marks
             .iter_mut()
-            .find(|mark| mark.row == row && mark.fate.is_none())
+            .find(|mark| mark.row == row && mark.status.is_none())
         else {
             return;
         };
-        mark.fate = match found {
-            // Our own earlier try, whose answer was lost.
-            Ok(Some(value)) if **value == *mark.token.as_bytes() => Some(Fate::Marked),
-            Ok(Some(_)) => Some(Fate::Taken),
-            // It was removed meanwhile; the next try decides.
+        mark.status = match found {
+            // An earlier attempt of this group, whose answer was lost.
+            Ok(Some(value)) if **value == *mark.token.as_bytes() => Some(Status::Marked),
+            Ok(Some(_)) => Some(Status::Exists),
+            // The mark was removed meanwhile; the next attempt decides.
             Ok(None) => None,
-            Err(_) => Some(Fate::Unsure),
+            Err(_) => Some(Status::Unknown),
         };
     }
 
-    /// The fates, in the order of the marks.
-    pub fn fates(&self) -> impl Iterator<Item = Fate> {
+    /// Returns the results, in the order of the marks.
+    pub fn statuses(&self) -> impl Iterator<Item = Status> {
         self.marks
             .iter()
-            .map(|mark| mark.fate.unwrap_or(Fate::Unsure))
+            .map(|mark| mark.status.unwrap_or(Status::Unknown))
     }
 
-    fn settle(&mut self, fate: Fate) {
+    fn settle(&mut self, status: Status) {
         for mark in &mut self.marks {
-            mark.fate = mark.fate.or(Some(fate));
+            mark.status = mark.status.or(Some(status));
         }
     }
 }
--- a/src/permit/post.rs
+++ b/src/permit/send.rs
@@ -1,32 +1,32 @@
-//! What a gateway sends to pools.
+//! Messages from a gateway to pools.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use super::{Desk, Waiting};
+use super::{Broker, Waiting};
 use crate::clock::Time;
 use crate::event;
 use crate::name::Name;
-use crate::pool::message::{End, HOLDS, Hold, Question};
+use crate::pool::message::{End, MAX_RENEWALS, Renewal, Request};
 use crate::pool::shard;
 use crate::wire;
 
-impl Desk {
-    pub(super) fn mention(&self, now: Time) {
-        let mut by_pool: BTreeMap<Name, Vec<Hold>> = BTreeMap::new();
+impl Broker {
+    pub(super) fn send_renewals(&self, now: Time) {
+        let mut by_pool: BTreeMap<Name, Vec<Renewal>> = BTreeMap::new();
         for held in self.held.borrow().values() {
-            let mut hold = held.hold.clone();
-            hold.due = held.due.since(now);
-            by_pool.entry(held.pool.clone()).or_default().push(hold);
+            let mut renewal = held.renewal.clone();
+            renewal.due = held.due.since(now);
+            by_pool.entry(held.pool.clone()).or_default().push(renewal);
         }
-        for (pool, holds) in by_pool {
+        for (pool, renewals) in by_pool {
             let Some(owner) = self.owners.borrow_mut().owner(&pool) else {
                 continue;
             };
-            for some in holds.chunks(HOLDS) {
-                let question = Question::Holds {
+            for some in renewals.chunks(MAX_RENEWALS) {
+                let question = Request::Renew {
                     pool: pool.clone(),
-                    holds: some.to_vec(),
+                    renewals: some.to_vec(),
                 };
                 self.send(owner, &question);
             }
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Gives back what nobody here wants, at whichever pool it is.
-    pub(super) fn release_everywhere(&self, seq: u64, owner: SocketAddr) {
+    /// Releases a permit that is not needed, in every pool that may have granted it.
+    pub(super) fn release_in_all_pools(&self, seq: u64, owner: SocketAddr) {
         let catalog = self.catalog.read();
         let mut services: Vec<&Name> = catalog
             .endpoints
@@ -66,27 +66,34 @@
 
     pub(super) fn send_release(&self, owner: SocketAddr, seq: u64, pool: &Name, end: End) {
         let pool = pool.clone();
-        self.send(owner, &Question::Release { pool, seq, end });
+        self.send(owner, &Request::Release { pool, seq, end });
     }
 
     pub(super) fn send_ask(&self, now: Time, seq: u64, waiting: &mut Waiting) {
         let owner = self.owners.borrow_mut().owner(&waiting.pool);
-        waiting.tries.sending(now, owner);
+        waiting.attempts.record_send(now, owner);
         let Some(owner) = owner else {
             return;
         };
-        let waited = now.since(waiting.since);
-        let mut ask = waiting.want.ask.clone();
-        ask.patience = ask.patience.saturating_sub(waited);
-        ask.due = ask.due.saturating_sub(waited);
+        let waited = now.since(waiting.started);
+        let mut requirements = waiting.claim.requirements.clone();
+        requirements.max_wait = requirements.max_wait.saturating_sub(waited);
+        requirements.due = requirements.due.saturating_sub(waited);
         let pool = waiting.pool.clone();
-        self.send(owner, &Question::Ask { pool, seq, ask });
+        self.send(
+            owner,
+            &Request::Acquire {
+                pool,
+                seq,
+                requirements,
+            },
+        );
     }
 
-    pub(super) fn send(&self, owner: SocketAddr, question: &Question) {
+    pub(super) fn send(&self, owner: SocketAddr, question: &Request) {
         match wire::encode(question) {
-            // What does not fit into the socket's buffer is lost like any other
-            // datagram; it is repeated.
+            // A datagram that does not fit into the socket's buffer is lost like any
+            // other and repeated later.
             Ok(bytes) => drop(self.socket.try_send_to(&bytes, owner)),
             Err(error) => log::warn!("{} why=\"{error}\"", event::DATAGRAM_REFUSED),
         }
--- a/src/platform/forward.rs
+++ b/src/platform/forward.rs
@@ -1,4 +1,4 @@
-//! Requests as endpoints get them, and what their answers' heads say.
+//! Builds the requests that are sent to endpoints, and classifies the heads of their responses.
 
 use std::time::Duration;
 
@@ -11,18 +11,18 @@
 };
 use hyper::{HeaderMap, Method, Request, Response, StatusCode};
 
-use super::call::{ATTEMPT, LAST_EVENT, TIMEOUT};
+use super::call::{LAST_EVENT_ID, REQUEST_ID, TIMEOUT};
 use crate::catalog::Endpoint;
 use crate::name::Name;
 
-/// Which run of an endpoint is meant; any other refuses.
+/// The endpoint instance that a request is for; any other instance refuses it.
 const INSTANCE: HeaderName = HeaderName::from_static("x-target-instance");
-/// The endpoint did not run the request.
+/// Set by an endpoint that did not run the request.
 const NOT_RUN: HeaderName = HeaderName::from_static("x-not-run");
-/// An endpoint's signature of its answer.
-const STAMP: HeaderName = HeaderName::from_static("x-response-stamp");
-/// Headers that concern one connection only.
-const HOP: [HeaderName; 8] = [
+/// An endpoint's signature of its response.
+const SIGNATURE: HeaderName = HeaderName::from_static("x-response-stamp");
+/// Hop-by-hop headers, which apply to one connection only.
+const HOP_BY_HOP: [HeaderName; 8] = [
     CONNECTION,
     HeaderName::from_static("keep-alive"),
     HeaderName::from_static("proxy-connection"),
@@ -33,24 +33,23 @@
     UPGRADE,
 ];
 
-/// A request that is passed on.
+/// A request to forward to an endpoint.
 #[derive(Clone, Debug)]
 pub struct Forward {
     /// The method.
     pub method: Method,
-    /// The path with its query, as it came.
+    /// The path with its query, unchanged.
     pub path: String,
-    /// The headers that concern the endpoint.
+    /// The end-to-end headers.
     pub headers: HeaderMap,
     /// The whole body.
     pub body: Bytes,
-    /// The caller's identity of the request.
+    /// The caller's id of the request.
     pub id: Name,
 }
 
-/// Removes the headers that concern one connection only, those that
-/// `Connection` names among them.
-pub fn strip(headers: &mut HeaderMap) {
+/// Removes the hop-by-hop headers, including those that `Connection` lists.
+pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
@@ -58,17 +57,18 @@
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named.iter().chain(&HOP) {
+    for name in named.iter().chain(&HOP_BY_HOP) {
         headers.remove(name);
     }
 }
 
 impl Forward {
-    /// The request for `endpoint`, with `left` of the caller's time, going on
-    /// behind the event `last`.
+    /// Builds the request for `endpoint`. `left` is the caller's remaining time; a stream resumes
+    /// after the event `last`.
     ///
     /// # Errors
-    /// When the caller's path is no request target.
+    /// When the caller's path is not a valid request target, or the endpoint's id not a valid
+    /// header value.
     pub fn request(
         &self,
         endpoint: &Endpoint,
@@ -91,16 +91,16 @@
             headers.insert(TIMEOUT, millis.into());
         }
         if let Some(last) = last {
-            headers.insert(LAST_EVENT, last.into());
+            headers.insert(LAST_EVENT_ID, last.into());
         }
         Ok(request)
     }
 
-    /// The request of a batch item, which carries its own headers and the name of
-    /// the organisation whose job it is of.
+    /// Builds the request of a batch item, with the item's own headers and the name of the
+    /// organisation that submitted the job.
     ///
     /// # Errors
-    /// When a header or the path can't be sent.
+    /// When a header or the path is not valid in HTTP.
     pub fn item(
         host: &str,
         path: &str,
@@ -117,10 +117,10 @@
             );
         }
         map.insert(HOST, HeaderValue::try_from(host)?);
-        map.insert(ATTEMPT, HeaderValue::try_from(&**id)?);
-        strip(&mut map);
-        super::organisation::name(&mut map, organisation);
-        // The path is checked here, so that a wrong one is found at submission.
+        map.insert(REQUEST_ID, HeaderValue::try_from(&**id)?);
+        strip_hop_by_hop(&mut map);
+        super::organisation::set_header(&mut map, organisation);
+        // Checking the path here rejects an invalid one at submission.
         Request::builder().uri(path).body(())?;
         Ok(Self {
             method: Method::POST,
@@ -132,45 +132,46 @@
     }
 }
 
-/// What the head of an endpoint's answer says.
+/// The class of an endpoint's response, from its head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It did not run the request, because it is full.
+    /// The endpoint did not run the request because it is at capacity.
     Full,
-    /// It did not run the request, because another one was meant or it leaves.
-    Elsewhere,
-    /// It belongs to another request.
-    Foreign,
-    /// It ran the request and failed.
+    /// The endpoint did not run the request because it was meant for another instance or because
+    /// the endpoint is leaving.
+    Misdirected,
+    /// The response belongs to another request, or the endpoint did not sign it.
+    Unverified,
+    /// The endpoint ran the request and failed.
     Failed,
-    /// The request can never be done.
-    Impossible,
-    /// It answers the request.
+    /// The request can never succeed; repeating it is useless.
+    Unprocessable,
+    /// The response answers the request.
     Answer,
 }
 
-/// Reads the head of an answer to the request `id`.
-pub fn verdict(response: &Response<Incoming>, id: &Name) -> Verdict {
+/// Classifies the head of a response to the request `id`.
+pub fn classify(response: &Response<Incoming>, id: &Name) -> Verdict {
     let headers = response.headers();
     let status = response.status();
     if status == StatusCode::MISDIRECTED_REQUEST {
-        return Verdict::Elsewhere;
+        return Verdict::Misdirected;
     }
     if headers.contains_key(NOT_RUN) {
         return Verdict::Full;
     }
     if headers
-        .get(ATTEMPT)
+        .get(REQUEST_ID)
         .is_some_and(|echo| echo.as_bytes() != id.as_bytes())
     {
-        return Verdict::Foreign;
+        return Verdict::Unverified;
     }
-    if !headers.contains_key(STAMP) {
-        // Nobody signed it: a broken endpoint's words are no answer.
-        return Verdict::Foreign;
+    if !headers.contains_key(SIGNATURE) {
+        // Unsigned: a faulty endpoint or an intermediary produced it, so it must not be passed on.
+        return Verdict::Unverified;
     }
     if status == StatusCode::UNPROCESSABLE_ENTITY {
-        return Verdict::Impossible;
+        return Verdict::Unprocessable;
     }
     if status.is_server_error() {
         return Verdict::Failed;
@@ -178,16 +179,16 @@
     Verdict::Answer
 }
 
-/// The head of an answer for the caller.
+/// Returns the response's head for the caller, without hop-by-hop headers.
 pub fn head(response: &Response<Incoming>) -> Response<()> {
     let mut head = Response::new(());
     *head.status_mut() = response.status();
     *head.headers_mut() = response.headers().clone();
-    strip(head.headers_mut());
+    strip_hop_by_hop(head.headers_mut());
     head
 }
 
-/// True when the answer is a stream of events.
+/// Returns true when the response is a stream of server-sent events.
 pub fn is_stream(headers: &HeaderMap) -> bool {
     headers
         .get(CONTENT_TYPE)
--- a/standin/tests/store_client.rs
+++ b/standin/tests/store_client.rs
@@ -1,13 +1,13 @@
-//! The client of the users' store, against the stand-in.
+//! Tests the client of the users' store against the stand-in store.
 
 use std::rc::Rc;
 use std::time::Duration;
 
-use auburnspoke::edge::roster::Registered;
+use auburnspoke::edge::roster::Registration;
 use auburnspoke::platform::store::Client;
 use auburnspoke::table::{Feed as _, Roster as _, Table as _, Transaction, Vm};
 use googletest::prelude::*;
-use standin::site::store::{Store, Treatment};
+use standin::site::store::{Degradation, Store};
 
 fn run<F, B>(body: B)
 where
@@ -32,15 +32,14 @@
     }
 }
 
-fn registered(client: &Client, at: usize) -> Rc<Registered<Client>> {
-    Rc::new(Registered::new(client.clone(), vm(at)))
+fn registered(client: &Client, at: usize) -> Rc<Registration<Client>> {
+    Rc::new(Registration::new(client.clone(), vm(at)))
 }
 
 #[gtest]
-fn scan_other_prefix_behind() {
-    // A caller reads the results of a small job among many. Were the rows of the
-    // jobs behind it read as well, and thrown away, every reading would carry a
-    // megabyte and hold its reader up.
+fn scan_later_prefix() {
+    // Guards against scans that read past their prefix: when a caller reads the results of one
+    // small job, the rows of later jobs would be read and dropped, up to a megabyte for each read.
     run(|store, client| async move {
         for job in 0..6 {
             for position in 0..3 {
@@ -61,7 +60,7 @@
 }
 
 #[gtest]
-fn get_other_row_behind() {
+fn get_later_row() {
     run(|store, client| async move {
         let row = Transaction::default().put("job/b", "x");
         client.transact(row).await.unwrap();
@@ -71,10 +70,9 @@
 }
 
 #[gtest]
-fn list_again() {
-    // Every node of a large fleet reads who else there is, again and again.
-    // Only what is new may be read, or each start of all nodes would cost the
-    // square of their number.
+fn list_repeated() {
+    // Every node of a large fleet lists the other nodes repeatedly. It must read only new rows, or
+    // the cost of starting all nodes would grow with the square of their number.
     run(|store, client| async move {
         for at in 0..50 {
             let other = registered(&client, at);
@@ -104,23 +102,22 @@
 
 #[gtest]
 fn list_row_refused() {
-    // All nodes have restarted, and the store has more to write than it can. A
-    // node whose row is refused must still learn where the others are: one that
-    // knew only its seeds would keep pools of its own, and the endpoints that
-    // these give away would turn its callers away.
+    // All nodes have restarted and the store refuses writes under overload. A node whose own row is
+    // refused must still list the others. If it had only its seeds, it would run pools of its own,
+    // and endpoints would refuse the requests that these pools send to them.
     run(|store, client| async move {
         registered(&client, 1).list().await.unwrap();
-        let full = Treatment {
-            full: true,
-            ..Treatment::default()
+        let overloaded = Degradation {
+            overloaded: true,
+            ..Degradation::default()
         };
-        store.treatment.borrow_mut().insert(0, full);
+        store.degradations.borrow_mut().insert(0, overloaded);
         let me = registered(&client, 2);
         expect_that!(me.list().await.unwrap().len(), eq(1));
         let registering = Rc::clone(&me);
-        let task = actix_rt::spawn(async move { registering.keep_registering().await });
-        store.treatment.borrow_mut().clear();
-        // It ends once the row is there.
+        let task = actix_rt::spawn(async move { registering.register_until_stored().await });
+        store.degradations.borrow_mut().clear();
+        // It returns once the row is stored.
         task.await.unwrap();
         expect_that!(me.list().await.unwrap().len(), eq(2));
     });
@@ -128,7 +125,8 @@
 
 #[gtest]
 fn transact_parts() {
-    // Nodes' rows and jobs must not wait for each other.
+    // The rows of nodes and of jobs are in different parts, so that their writes do not wait for
+    // each other.
     run(|store, client| async move {
         registered(&client, 1).list().await.unwrap();
         let row = Transaction::default().put("job/a", "x");
@@ -142,20 +140,20 @@
 
 #[gtest]
 fn snapshot_slow_pages() {
-    // All nodes have restarted and read the whole table of endpoints at once, so
-    // each page takes longer than a usual answer. Were a page taken for lost and
-    // the reading begun anew, the same bytes would go over full links again and
-    // again, and callers would be told for seconds that there are no endpoints.
+    // All nodes have restarted and read the whole table of endpoints at once, so each page takes
+    // longer than usual. If a slow page counted as lost and the read started over, the same bytes
+    // would be sent repeatedly over saturated links, and callers would be refused for seconds
+    // because no endpoint is listed.
     run(|store, client| async move {
         for at in 0..1_200 {
             let value = serde_json::json!({"at": at});
             store.put("servers", &format!("i-{at:04}"), &value);
         }
-        let slow = Treatment {
-            slow: Duration::from_millis(300),
-            ..Treatment::default()
+        let slow = Degradation {
+            delay: Duration::from_millis(300),
+            ..Degradation::default()
         };
-        store.treatment.borrow_mut().insert(0, slow);
+        store.degradations.borrow_mut().insert(0, slow);
         let snapshot = client.snapshot("servers").await.unwrap();
         expect_that!(snapshot.rows.len(), eq(1_200));
         expect_that!(store.rows_read.get(), eq(1_200));
--- a/tests/config_check.rs
+++ b/tests/config_check.rs
@@ -1,4 +1,4 @@
-//! Checks and differences of documents.
+//! Validation and comparison of documents.
 
 use auburnspoke::config::check::{self, MAX_ENDPOINTS, MAX_SERVICES};
 use auburnspoke::config::{Document, convert, diff, row};
@@ -48,7 +48,10 @@
 #[gtest]
 fn document_round_trip() {
     let document = check::document(&config()).unwrap();
-    expect_that!(document.services["pay"].deadline_ms, eq(check::DEADLINE_MS));
+    expect_that!(
+        document.services["pay"].deadline_ms,
+        eq(check::DEFAULT_DEADLINE_MS)
+    );
     expect_that!(document.organisations["bank"].weight, eq(1));
     let again = check::document(&convert::to_schema(&document)).unwrap();
     expect_that!(again, eq(&document));
@@ -108,9 +111,9 @@
 }
 
 #[gtest]
-fn document_size_of_letter() {
-    // 690 endpoints, 950 organisations and 19 services fit well below the
-    // bound; docs/design/config.md adds up what reading them costs.
+fn document_size_of_expected_fleet() {
+    // 690 endpoints, 950 organisations and 19 services fit well below the limit;
+    // docs/design/config.md sums up the cost of reading them.
     let config = v1::Config {
         services: (0..19).map(|n| service(&format!("service-{n}"))).collect(),
         endpoints: (1..=690)
@@ -129,7 +132,7 @@
             .collect(),
     };
     let bytes = row::encode(&check::document(&config).unwrap()).len();
-    println!("document of the letter's size: {bytes} bytes");
+    println!("document of the expected fleet: {bytes} bytes");
     expect_that!(bytes, lt(check::MAX_BYTES / 4));
 }
 
--- a/tests/job_lane.rs
+++ b/tests/job_lane.rs
@@ -1,12 +1,12 @@
-//! A lane's row and a chunk's items, as decisions.
+//! Decisions on a lane's row and a chunk's items.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use auburnspoke::clock::Time;
-use auburnspoke::job::change::{self, Change, Place};
+use auburnspoke::job::change::{self, Resolution, Target};
 use auburnspoke::job::chunk::Chunk;
-use auburnspoke::job::lane::{Committed, Held, Lane, Step};
+use auburnspoke::job::lane::{Committed, Decision, Held, Lane};
 use auburnspoke::job::record::{self, Counts, Job};
 use auburnspoke::job::watch::{Verdict, Watch};
 use auburnspoke::job::{End, State, key};
@@ -31,31 +31,37 @@
     }
 }
 
-/// A holder that was paused comes back when another has its chunk, and again when
-/// that one has committed it.
+/// A paused holder resumes after another has taken over its chunk, and again after that one has
+/// committed it.
 #[gtest]
 fn commit_stale_epoch() {
     let lane = Lane::new(0, 2);
     let (lane, old) = lane.claim(&"old".into(), 0).expect("free");
     let (lane, new) = lane.take_over(old.epoch, &"new".into(), 0).expect("held");
-    expect_that!(lane.commit(committed(0, old.epoch)), eq(&Step::Lost));
-    let Step::Write(lane) = lane.commit(committed(0, new.epoch)) else {
+    expect_that!(
+        lane.commit(committed(0, old.epoch)),
+        eq(&Decision::Superseded)
+    );
+    let Decision::Write(lane) = lane.commit(committed(0, new.epoch)) else {
         panic!("the holder commits");
     };
-    expect_that!(lane.commit(committed(0, old.epoch)), eq(&Step::Lost));
-    expect_that!(lane.commit(committed(0, new.epoch)), eq(&Step::Already));
-    expect_that!(lane.is_over(), eq(false));
+    expect_that!(
+        lane.commit(committed(0, old.epoch)),
+        eq(&Decision::Superseded)
+    );
+    expect_that!(lane.commit(committed(0, new.epoch)), eq(&Decision::Applied));
+    expect_that!(lane.is_finished(), eq(false));
 }
 
 #[gtest]
-fn take_over_counts_losses_and_keeps_the_trail() {
+fn take_over_counts_losses_and_keeps_log_ranges() {
     let lane = Lane::new(0, 1);
     let (lane, first) = lane.claim(&"a".into(), 7).expect("free");
     let (lane, second) = lane.take_over(first.epoch, &"b".into(), 3).expect("held");
     expect_that!(second.losses, eq(1));
     expect_that!(second.trails[0].from, eq(7));
     expect_that!(second.trails[0].until, none());
-    let Step::Write(lane) = lane.release(second.epoch, 9, &[]) else {
+    let Decision::Write(lane) = lane.release(second.epoch, 9, &[]) else {
         panic!("the holder releases");
     };
     let (_, third) = lane.claim(&"c".into(), 0).expect("freed");
@@ -63,8 +69,8 @@
     expect_that!(third.trails[1].until, some(eq(9)));
 }
 
-/// A lease was renewed after it was seen to be expired. Its holder lives, so its
-/// chunk must be left to it or the work is done twice.
+/// A lease is renewed after it was seen to be expired. Its holder is alive, so taking its chunk
+/// over would do the work twice.
 #[gtest]
 fn take_over_of_a_renewed_lease() {
     run(async {
@@ -77,7 +83,7 @@
         };
         let row = remote_row(&platform, &accepted.job.row()).await;
         let job: Job = record::decode(&row.1).expect("a job");
-        let place = Place {
+        let target = Target {
             job,
             version: row.0,
             lane: 0,
@@ -86,19 +92,19 @@
         let renew = || Transaction::default().put(&lease, "renewed");
         let version = platform.transact(renew()).await.expect("answers");
         let claim = |lane: &Lane| match lane.claim(&"old".into(), 0) {
-            Some((lane, _)) => Step::Write(lane),
-            None => Step::Lost,
+            Some((lane, _)) => Decision::Write(lane),
+            None => Decision::Superseded,
         };
-        let change = change::apply(&platform, &place, None, None, claim).await;
-        expect_that!(change, eq(&Change::Settled));
+        let change = change::apply(&platform, &target, None, None, claim).await;
+        expect_that!(change, eq(&Resolution::Applied));
         let take = |lane: &Lane| match lane.take_over(1, &"new".into(), 0) {
-            Some((lane, _)) => Step::Write(lane),
-            None => Step::Lost,
+            Some((lane, _)) => Decision::Write(lane),
+            None => Decision::Superseded,
         };
         platform.transact(renew()).await.expect("answers");
         let guard = change::guard("old", Some(version));
-        let change = change::apply(&platform, &place, None, Some(&guard), take).await;
-        expect_that!(change, eq(&Change::Lost));
+        let change = change::apply(&platform, &target, None, Some(&guard), take).await;
+        expect_that!(change, eq(&Resolution::Superseded));
     });
 }
 
@@ -114,41 +120,41 @@
 fn watch_expires_by_the_observers_clock() {
     let mut watch = Watch::new(Duration::from_secs(30));
     let at = |seconds: u64| Time::from_millis(seconds * 1_000);
-    watch.list(at(0), &[("a".into(), 1), ("b".into(), 1)]);
-    watch.list(at(31), &[("a".into(), 1), ("b".into(), 2)]);
+    watch.update(at(0), &[("a".into(), 1), ("b".into(), 1)]);
+    watch.update(at(31), &[("a".into(), 1), ("b".into(), 2)]);
     expect_that!(watch.verdict(at(31), "a"), eq(Verdict::Expired(1)));
     expect_that!(watch.verdict(at(31), "b"), eq(Verdict::Alive));
     expect_that!(watch.verdict(at(31), "c"), eq(Verdict::Gone));
-    watch.fail();
+    watch.reset();
     expect_that!(watch.verdict(at(99), "a"), eq(Verdict::Alive));
 }
 
-/// What one of several holders does next, and what becomes of its answer.
+/// The next action of one of several holders.
 #[derive(Clone, Debug)]
-enum Move {
+enum Action {
     Claim,
     TakeOver(usize),
     Commit(usize),
     Release(usize),
     /// It reads the row again.
-    Look,
-    /// It is lost, and started again with another session.
+    Read,
+    /// It is lost, and restarts with another session.
     Crash,
 }
 
-fn moves() -> impl Strategy<Value = (usize, Move, bool)> {
+fn actions() -> impl Strategy<Value = (usize, Action, bool)> {
     let next = prop_oneof![
-        3 => Just(Move::Claim),
-        2 => (0usize..4).prop_map(Move::TakeOver),
-        3 => (0usize..4).prop_map(Move::Commit),
-        1 => (0usize..4).prop_map(Move::Release),
-        4 => Just(Move::Look),
-        1 => Just(Move::Crash),
+        3 => Just(Action::Claim),
+        2 => (0usize..4).prop_map(Action::TakeOver),
+        3 => (0usize..4).prop_map(Action::Commit),
+        1 => (0usize..4).prop_map(Action::Release),
+        4 => Just(Action::Read),
+        1 => Just(Action::Crash),
     ];
     (0usize..3, next, any::<bool>())
 }
 
-/// A holder with what it believes.
+/// A holder with its copy of the row and the chunks that it considers held.
 struct Holder {
     session: Name,
     seen: (u64, Lane),
@@ -158,11 +164,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Holders act on rows that they read long ago, are lost at any step, and
-    /// lose answers. However they meet, each chunk is committed once and its
-    /// commit never changes, and no two believe rightly in the same chunk.
+    /// Holders act on outdated rows, are lost at any step, and lose answers. In any interleaving
+    /// each chunk is committed once, its commit never changes, and no chunk has two valid holders.
     #[test]
-    fn lane_commits_each_chunk_once(moves in prop::collection::vec(moves(), 1..200), chunks in 1u32..5) {
+    fn lane_commits_each_chunk_once(actions in prop::collection::vec(actions(), 1..200), chunks in 1u32..5) {
         let mut row = (1u64, Lane::new(0, chunks));
         let mut sessions = 0;
         let mut holder = || {
@@ -175,7 +180,7 @@
         };
         let mut holders = [holder(), holder(), holder()];
         let mut done: BTreeMap<u32, Committed> = BTreeMap::new();
-        for (who, next, lost) in moves {
+        for (who, next, lost) in actions {
             let me = &mut holders[who];
             // The row changes only under the version that was read.
             let mut write = |seen: &(u64, Lane), next: Lane| {
@@ -186,9 +191,9 @@
                 fits
             };
             match next {
-                Move::Look => me.seen = row.clone(),
-                Move::Crash => *me = holder(),
-                Move::Claim => {
+                Action::Read => me.seen = row.clone(),
+                Action::Crash => *me = holder(),
+                Action::Claim => {
                     if let Some((lane, held)) = me.seen.1.claim(&me.session, 0)
                         && write(&me.seen, lane)
                         && !lost
@@ -196,7 +201,7 @@
                         me.held.push(held);
                     }
                 }
-                Move::TakeOver(at) => {
+                Action::TakeOver(at) => {
                     let epoch = me.seen.1.held.get(at).map_or(0, |held| held.epoch);
                     if let Some((lane, held)) = me.seen.1.take_over(epoch, &me.session, 0)
                         && write(&me.seen, lane)
@@ -205,19 +210,19 @@
                         me.held.push(held);
                     }
                 }
-                Move::Commit(at) => {
+                Action::Commit(at) => {
                     let Some(held) = me.held.get(at).cloned() else { continue };
                     let result = committed(held.chunk, held.epoch);
-                    if let Step::Write(lane) = me.seen.1.commit(result) {
+                    if let Decision::Write(lane) = me.seen.1.commit(result) {
                         let fits = write(&me.seen, lane);
                         if fits && !lost {
                             me.held.remove(at);
                         }
                     }
                 }
-                Move::Release(at) => {
+                Action::Release(at) => {
                     let Some(held) = me.held.get(at).cloned() else { continue };
-                    if let Step::Write(lane) = me.seen.1.release(held.epoch, 0, &[]) {
+                    if let Decision::Write(lane) = me.seen.1.release(held.epoch, 0, &[]) {
                         write(&me.seen, lane);
                     }
                 }
@@ -236,36 +241,36 @@
         }
     }
 
-    /// Items come back in any way and order. Each gets one result; one that must
-    /// run at most once is sent again only after it surely was not run; one that
-    /// failed is sent alone.
+    /// Items finish in any order and with any outcome. Each gets one result. An item that must run
+    /// at most once is sent again only if it certainly did not run, and an item that failed is sent
+    /// isolated.
     #[test]
     fn chunk_gives_each_item_one_result(
         count in 1u32..40,
         once in any::<bool>(),
-        fates in prop::collection::vec(0u8..10, 400),
+        outcomes in prop::collection::vec(0u8..10, 400),
         losses in 0u32..4,
     ) {
         let (_, mut held) = Lane::new(0, 1).claim(&"s".into(), 0).expect("free");
         held.losses = losses;
         let mut chunk = Chunk::new(&held, 0, items(count), once, 3, &[]);
-        let mut fates = fates.into_iter().chain(std::iter::repeat(0));
+        let mut outcomes = outcomes.into_iter().chain(std::iter::repeat(0));
         let mut now = Time::ZERO;
         let mut running: Vec<(u32, bool)> = Vec::new();
         let mut spent: BTreeMap<u32, u32> = BTreeMap::new();
         let mut marked = Vec::new();
         for _ in 0..20_000 {
-            if chunk.is_over() {
+            if chunk.is_finished() {
                 break;
             }
             now += Duration::from_millis(100);
-            // The answer to a mark comes only every third time.
+            // Marks are confirmed only in every third round.
             if now.as_millis().is_multiple_of(300) {
                 let unmarked = chunk.unmarked(5);
                 chunk.marked(&unmarked);
                 marked.extend(unmarked);
             }
-            chunk.record_alone(now);
+            chunk.start_isolation(now);
             if let Some(entry) = chunk.take_unwritten(&"job".into()) {
                 let replies: Vec<u32> = entry.replies.iter().map(|reply| reply.number).collect();
                 chunk.written(&entry.attempts, &replies);
@@ -275,13 +280,13 @@
                 prop_assert!(chunk.start(number).is_some());
                 running.push((number, false));
             }
-            if let Some(number) = chunk.next_alone().filter(|_| running.is_empty()) {
+            if let Some(number) = chunk.next_isolated().filter(|_| running.is_empty()) {
                 prop_assert!(chunk.start(number).is_some());
                 running.push((number, true));
             }
             for (number, alone) in std::mem::take(&mut running) {
                 let refusal = Refusal::new(Reason::EndpointFailed);
-                let outcome = match fates.next().expect("endless") {
+                let outcome = match outcomes.next().expect("endless") {
                     0..6 => Outcome::Done(Answer::default()),
                     6..8 => Outcome::NotRun(refusal),
                     _ => Outcome::MayHaveRun(refusal),
@@ -295,7 +300,7 @@
                 chunk.ended(now, number, outcome);
             }
         }
-        prop_assert!(chunk.is_over());
+        prop_assert!(chunk.is_finished());
         let replies = chunk.replies();
         let numbers: Vec<u32> = replies.iter().map(|reply| reply.number).collect();
         prop_assert_eq!(numbers, (0..count).collect::<Vec<_>>());
@@ -323,9 +328,11 @@
             once: false,
             state: State::Active,
         };
-        let spans: Vec<u32> = (0..job.lanes).flat_map(|lane| job.span(lane)).collect();
+        let spans: Vec<u32> = (0..job.lanes)
+            .flat_map(|lane| job.chunk_range(lane))
+            .collect();
         expect_that!(spans, eq(&(0..job.chunks()).collect::<Vec<_>>()));
-        let numbers: usize = (0..job.chunks()).map(|c| job.numbers(c).len()).sum();
+        let numbers: usize = (0..job.chunks()).map(|c| job.item_range(c).len()).sum();
         expect_that!(numbers, eq(count as usize));
     }
 }
--- a/tests/leave_phase.rs
+++ b/tests/leave_phase.rs
@@ -1,12 +1,15 @@
-//! How a node leaves, step by step.
+//! Phases of a graceful shutdown.
 
 use std::time::Duration;
 
 use auburnspoke::clock::Time;
-use auburnspoke::leave::{Action, Ending, Input, Leave, Phase, Times, Work};
+use auburnspoke::leave::{Action, Input, Leave, Phase, Summary, Times, Work};
 use googletest::prelude::*;
 
-const CLEAN: Ending = Ending { cut: 0, chunks: 0 };
+const CLEAN: Summary = Summary {
+    aborted: 0,
+    chunks: 0,
+};
 
 /// A node in virtual time.
 struct Node {
@@ -50,7 +53,7 @@
         done.find(|(_, a)| *a == action).map(|(at, _)| *at)
     }
 
-    fn ending(&self) -> Option<(u64, Ending)> {
+    fn ending(&self) -> Option<(u64, Summary)> {
         self.done.iter().find_map(|(at, action)| match action {
             Action::Exit(ending) => Some((*at, *ending)),
             _ => None,
@@ -58,10 +61,10 @@
     }
 }
 
-/// A VM is replaced as planned while callers hold its address. Ending before
-/// their answers have run out would refuse them a connection.
+/// A VM is replaced while callers have its address cached. If it exited before
+/// these entries expire, callers would be refused a connection.
 #[gtest]
-fn stop_serves_until_addresses_run_out() {
+fn stop_serves_until_addresses_expire() {
     let mut node = Node::serving();
     node.input(Input::Stop);
     let first: Vec<Action> = node.done.iter().map(|(_, action)| *action).collect();
@@ -74,18 +77,18 @@
         ]
     );
     node.run(60);
-    expect_that!(node.when(Action::RefuseQuestions), some(eq(13_000)));
+    expect_that!(node.when(Action::RejectRequests), some(eq(13_000)));
     expect_that!(node.ending(), some(eq((13_000, CLEAN))));
     expect_that!(node.leave.phase(), eq(Phase::Ended));
 }
 
-/// A long answer is still being generated when the addresses have run out. It
-/// must come to its end.
+/// A long answer is still being generated when the cached addresses have expired.
+/// It must complete.
 #[gtest]
-fn stop_waits_for_what_is_in_flight() {
+fn stop_waits_for_in_flight_requests() {
     for work in [
         Work {
-            questions: 1,
+            requests: 1,
             ..Work::default()
         },
         Work {
@@ -104,8 +107,8 @@
     }
 }
 
-/// Chunks are held. Their running items get a moment to end, then they are
-/// written and given up, long before others could take them by expiry.
+/// Chunks are held. Their running items get time to complete, then the results
+/// are written and the leases released, long before they would expire.
 #[gtest]
 fn stop_releases_chunks() {
     let mut node = Node::serving();
@@ -125,7 +128,7 @@
     expect_that!(node.ending(), some(eq((13_000, CLEAN))));
 }
 
-/// Items do not end in their time, as those of a stuck endpoint.
+/// Items do not complete in time, as at an endpoint that hangs.
 #[gtest]
 fn stop_does_not_wait_for_stuck_items() {
     let mut node = Node::serving();
@@ -139,8 +142,8 @@
     expect_that!(node.when(Action::ReleaseChunks), some(eq(5_000)));
 }
 
-/// The platform is down while the node stops, so that its leases can't be given
-/// up. It tries again, and at last leaves them to run out.
+/// The platform is unavailable during the shutdown, so that leases cannot be
+/// released. The node retries and finally leaves them to expire.
 #[gtest]
 fn stop_during_an_outage_leaves_leases_to_run_out() {
     let mut node = Node::serving();
@@ -152,45 +155,48 @@
         .iter()
         .filter(|(_, a)| *a == Action::ReleaseChunks);
     expect_that!(tries.count(), all![gt(10), lt(25)]);
-    let ending = Ending { cut: 0, chunks: 3 };
+    let ending = Summary {
+        aborted: 0,
+        chunks: 3,
+    };
     expect_that!(node.ending(), some(eq((33_000, ending))));
     expect_that!(ending.is_clean(), eq(true));
 }
 
-/// The platform sends SIGTERM again, as some do each few seconds. A second one
-/// must neither cut answers short nor start the stop anew.
+/// The platform repeats SIGTERM every few seconds. A second one must neither
+/// abort requests nor restart the shutdown.
 #[gtest]
 fn stop_twice_changes_nothing() {
     let mut node = Node::serving();
-    node.work.questions = 1;
+    node.work.requests = 1;
     for _ in 0..10 {
         node.input(Input::Stop);
         node.run(2);
     }
     expect_that!(node.done.len(), eq(4));
-    node.work.questions = 0;
+    node.work.requests = 0;
     node.run(1);
     expect_that!(node.ending(), some(eq((20_100, CLEAN))));
 }
 
-/// A person presses Ctrl-C twice and does not want to wait.
+/// An operator presses Ctrl-C twice to skip the wait.
 #[gtest]
-fn hurry_cuts_off_at_once() {
+fn force_stop_aborts_at_once() {
     let mut node = Node::serving();
-    node.work.questions = 2;
+    node.work.requests = 2;
     node.input(Input::Stop);
     node.run(1);
-    node.input(Input::Hurry);
+    node.input(Input::ForceStop);
     node.run(3);
-    expect_that!(node.when(Action::CutOff), some(eq(1_100)));
+    expect_that!(node.when(Action::AbortAll), some(eq(1_100)));
     let (at, ending) = node.ending().unwrap();
     expect_that!(at, eq(2_100));
-    expect_that!(ending.cut, eq(2));
+    expect_that!(ending.aborted, eq(2));
     expect_that!(ending.is_clean(), eq(false));
 }
 
-/// SIGTERM comes before the node serves. Nobody knows of it, so nothing has to
-/// be waited for.
+/// SIGTERM arrives before the node serves. The node was never announced, so it
+/// need not wait.
 #[gtest]
 fn stop_during_start_ends_at_once() {
     let mut leave = Leave::new(Times::default());
@@ -200,27 +206,30 @@
     expect_that!(leave.phase(), eq(Phase::Ended));
 }
 
-/// An answer takes longer than the limit. Its caller gets a final answer and
-/// the process ends; it must not hang for ever.
+/// An answer takes longer than the time limit. Its caller gets a final answer and
+/// the process exits instead of hanging.
 #[gtest]
-fn stop_beyond_its_limit_cuts_off() {
+fn stop_beyond_its_limit_aborts() {
     let mut node = Node::serving();
-    node.work.questions = 1;
+    node.work.requests = 1;
     node.input(Input::Stop);
     node.run(130);
-    expect_that!(node.when(Action::CutOff), some(eq(120_000)));
-    let ending = Ending { cut: 1, chunks: 0 };
+    expect_that!(node.when(Action::AbortAll), some(eq(120_000)));
+    let ending = Summary {
+        aborted: 1,
+        chunks: 0,
+    };
     expect_that!(node.ending(), some(eq((121_000, ending))));
 }
 
-/// The process is paused during its stop and wakes after everything is due.
-/// Each thing still happens once, in order.
+/// The process is paused during its shutdown and resumes after every deadline has
+/// passed. Each action must still happen once, in order.
 #[gtest]
 fn pause_during_a_stop_keeps_the_order() {
     let mut node = Node::serving();
     node.input(Input::Stop);
     node.now += Duration::from_secs(60);
     node.run(1);
-    expect_that!(node.when(Action::RefuseQuestions), some(eq(60_100)));
+    expect_that!(node.when(Action::RejectRequests), some(eq(60_100)));
     expect_that!(node.ending(), some(eq((60_100, CLEAN))));
 }
--- a/tests/metric_text.rs
+++ b/tests/metric_text.rs
@@ -1,4 +1,4 @@
-//! What `/metrics` shows.
+//! The text that `/metrics` returns.
 
 use std::time::Duration;
 
@@ -9,8 +9,8 @@
 
 #[gtest]
 fn text_each_reason() {
-    // A counter that appears only once it counts can't be told from one that
-    // is missing, and an alert on it would never fire.
+    // A counter that appears only with its first increment can't be distinguished from a missing
+    // one, and an alert on it would never fire.
     let text = Metrics::new().text();
     for name in ["refused", "retried"] {
         for class in Class::ALL {
@@ -29,10 +29,10 @@
 #[gtest]
 fn text_counted() {
     let metrics = Metrics::new();
-    metrics.refuse(Class::Online, Reason::Overloaded);
-    metrics.retry(Class::Batch, Reason::LinkFailed);
-    metrics.first_token(Duration::from_millis(20));
-    metrics.between_tokens(Duration::from_millis(5));
+    metrics.count_refusal(Class::Online, Reason::Overloaded);
+    metrics.count_retry(Class::Batch, Reason::LinkFailed);
+    metrics.record_first_token(Duration::from_millis(20));
+    metrics.record_between_tokens(Duration::from_millis(5));
     let text = metrics.text();
     for line in [
         "auburnspoke_refused_total{class=\"online\",reason=\"overloaded\"} 1",
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole path over real processes.
+//! The complete request path, on real processes.
 
 use googletest::prelude::*;
 use serde_json::json;
@@ -8,11 +8,11 @@
 
 #[gtest]
 fn ask_through_every_node() {
-    // Each node must answer a question, whichever node admits to the engine.
+    // Each node must answer a question, whichever node runs the engine's dispatcher.
     let mut fleet = env::Fleet::new();
     fleet.engine(&["--faster", "20"]);
     fleet.node("zone-0").node("zone-1").node("zone-2");
-    fleet.settle(3);
+    fleet.await_members(3);
     fleet.configure();
     let ask = json!({"service": "recipes", "prompt": "swap nuts for seeds", "maxTokens": 8});
     let mut texts = Vec::new();
@@ -30,7 +30,7 @@
     let mut fleet = env::Fleet::new();
     fleet.plain();
     fleet.node("zone-0").node("zone-1");
-    fleet.settle(2);
+    fleet.await_members(2);
     fleet.configure();
     // "bm90ZQ" is "note" in the base64 of protobuf's JSON.
     let ask = json!({"service": "screening", "path": "/v1/check", "body": "bm90ZQ=="});
@@ -41,14 +41,14 @@
     expect_that!(fleet.plain_counts(0)["arrived"], eq(&json!(2)));
 }
 
-/// A planner submits items in the form that the help shows, with no bound on
-/// their output. Every one of them would end as failed.
+/// A client submits items in the form that the help text shows, without `maxTokens`. Without
+/// the service's default limit every one of them would end as failed.
 #[gtest]
 fn job_items_without_bound() {
     let mut fleet = env::Fleet::new();
     fleet.engine(&["--faster", "20"]);
     fleet.node("zone-0");
-    fleet.settle(1);
+    fleet.await_members(1);
     fleet.configure();
     let items = json!([{"key": "k", "prompt": "p"}]);
     let job =
@@ -67,13 +67,13 @@
 
 #[gtest]
 fn job_results_whole() {
-    // Twenty items go in at one node and their results are read at another.
+    // Twenty items are submitted at one node and their results are read at another.
     let mut fleet = env::Fleet::new();
     fleet
         .engine(&["--faster", "20"])
         .engine(&["--faster", "20"]);
     fleet.node("zone-0").node("zone-1").node("zone-2");
-    fleet.settle(3);
+    fleet.await_members(3);
     fleet.configure();
     let items: Vec<_> = (0..20)
         .map(|item| json!({"key": format!("i{item}"), "prompt": format!("scale {item}"), "maxTokens": 4}))
--- a/tests/permit_zones.rs
+++ b/tests/permit_zones.rs
@@ -1,4 +1,4 @@
-//! Which zone's pool a gateway asks, over real datagrams.
+//! Choice of the zone whose pool a gateway tries first, over real datagrams.
 
 #[path = "support/member.rs"]
 mod support;
@@ -14,14 +14,14 @@
 use auburnspoke::limit::Tolerance;
 use auburnspoke::member::View;
 use auburnspoke::name::Name;
-use auburnspoke::permit::{self, Desk, Permit, Want};
+use auburnspoke::permit::{self, Broker, Claim, Permit};
 use auburnspoke::pool;
-use auburnspoke::pool::message::{Ask, Class};
+use auburnspoke::pool::message::{Class, Requirements};
 use auburnspoke::quarantine::Fingerprint;
 use auburnspoke::snapshot::Cell;
 use googletest::prelude::*;
 
-/// Endpoints of each zone, and their slots: enough that each zone has a pool.
+/// Endpoints per zone and slots per endpoint, enough that each zone has its own pool.
 const ENDPOINTS: usize = 3;
 const SLOTS: u32 = 40;
 const ZONES: [&str; 3] = ["z0", "z1", "z2"];
@@ -63,8 +63,8 @@
     }
 }
 
-/// A gateway in `z0`, and the pools of all zones.
-fn desk() -> Rc<Desk> {
+/// Starts the pools of all zones, and returns the broker of a gateway in `z0`.
+fn broker() -> Rc<Broker> {
     let clock = Clock::start();
     let catalog = Arc::new(Cell::new(catalog()));
     let pools = local();
@@ -78,7 +78,7 @@
         own: [127, 0, 0, 1].into(),
         tolerance: Tolerance::default(),
     }));
-    let desk = Desk::new(permit::Setup {
+    let broker = Broker::new(permit::Setup {
         socket: local(),
         pool_port: port,
         boot: 1,
@@ -87,16 +87,16 @@
         view,
         tolerance: Tolerance::default(),
     });
-    actix_rt::spawn(Rc::clone(&desk).run());
-    desk
+    actix_rt::spawn(Rc::clone(&broker).run());
+    broker
 }
 
-async fn acquire(desk: &Rc<Desk>) -> Option<Permit> {
-    let ask = Ask {
+async fn acquire(broker: &Rc<Broker>) -> Option<Permit> {
+    let requirements = Requirements {
         class: Class::Online,
         priority: 0,
         zone: "z0".into(),
-        patience: Duration::from_millis(230),
+        max_wait: Duration::from_millis(230),
         due: Duration::from_secs(5),
         prefix: 0,
         organisation: 0,
@@ -104,40 +104,39 @@
         suspect: false,
         avoid: Vec::new(),
     };
-    let want = Want {
+    let claim = Claim {
         service: "llm".into(),
-        ask,
+        requirements,
     };
-    desk.acquire(want).await.ok()
+    broker.acquire(claim).await.ok()
 }
 
 #[gtest]
 fn acquire_own_zone_first() {
-    // Each answer that comes from another zone is paid for by the byte, and its
-    // events come later.
+    // Answers from another zone incur traffic charges and higher latency.
     actix_rt::System::new().block_on(async {
-        let desk = desk();
+        let broker = broker();
         let mut held = Vec::new();
         for _ in 0..60 {
-            held.push(acquire(&desk).await.unwrap());
+            held.push(acquire(&broker).await.unwrap());
         }
-        let near = |permit: &&Permit| *permit.endpoint.zone == *"z0";
-        expect_that!(held.iter().filter(near).count(), eq(60));
+        let in_own_zone = |permit: &&Permit| *permit.endpoint.zone == *"z0";
+        expect_that!(held.iter().filter(in_own_zone).count(), eq(60));
     });
 }
 
 #[gtest]
 fn acquire_own_zone_full() {
-    // A peak fills the slots of one zone. Who comes next must not wait there
-    // until it is too late, while other zones have room.
+    // A peak fills the slots of one zone. Further requests must not wait there until
+    // their deadline while other zones have free slots.
     actix_rt::System::new().block_on(async {
-        let desk = desk();
+        let broker = broker();
         let mut held = Vec::new();
         let own = ENDPOINTS * SLOTS as usize;
         for _ in 0..own + 20 {
-            held.push(acquire(&desk).await.unwrap());
+            held.push(acquire(&broker).await.unwrap());
         }
-        let far = |permit: &&Permit| *permit.endpoint.zone != *"z0";
-        expect_that!(held.iter().filter(far).count(), eq(20));
+        let in_other_zone = |permit: &&Permit| *permit.endpoint.zone != *"z0";
+        expect_that!(held.iter().filter(in_other_zone).count(), eq(20));
     });
 }
--- a/tests/placement_http.rs
+++ b/tests/placement_http.rs
@@ -1,5 +1,4 @@
-//! Orders over HTTP to endpoints that check fencing numbers and to ones that
-//! do not.
+//! Orders over HTTP to endpoints that check fencing numbers and to endpoints that do not.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -9,12 +8,12 @@
 
 use actix_http::{Method, StatusCode};
 use auburnspoke::clock::{Clock, Time};
-use auburnspoke::config::follow::Force;
+use auburnspoke::config::follow::InForce;
 use auburnspoke::config::{Document, check};
 use auburnspoke::http;
 use auburnspoke::lease::Setting;
-use auburnspoke::lease::keep::Keeper;
-use auburnspoke::order::{Load, ORDER_PATH, Order, Role, State};
+use auburnspoke::lease::elector::Elector;
+use auburnspoke::order::{Model, ORDER_PATH, Order, Role, State};
 use auburnspoke::placement::Failure;
 use auburnspoke::placement::run::{Placer, read, send};
 use auburnspoke::rpc::v1;
@@ -23,7 +22,7 @@
 use googletest::prelude::*;
 use tokio::sync::watch;
 
-/// An endpoint that does what it is ordered.
+/// An endpoint that applies orders.
 #[derive(Clone)]
 struct Engine {
     address: SocketAddr,
@@ -58,7 +57,7 @@
             let mut body = request.take_payload();
             let body = http::read_body(&mut body, 10_000).await.unwrap();
             let order: Order = serde_json::from_slice(&body).unwrap();
-            let obeyed = self.state.borrow_mut().obey(order, self.checks);
+            let obeyed = self.state.borrow_mut().apply(order, self.checks);
             if let Err(stale) = obeyed {
                 status = StatusCode::CONFLICT;
                 let body = serde_json::to_vec(&stale).unwrap();
@@ -73,13 +72,13 @@
         format!("http://{}{path}", self.address)
     }
 
-    fn hold(&self) -> Vec<Load> {
+    fn hold(&self) -> Vec<Model> {
         self.state.borrow().hold.clone()
     }
 }
 
-fn load(version: &str) -> Load {
-    Load {
+fn load(version: &str) -> Model {
+    Model {
         model: "m".into(),
         version: version.into(),
         adapters: vec![],
@@ -121,7 +120,7 @@
     document
 }
 
-/// Waits, generously, until `holds` is true.
+/// Waits for up to 30 s until `holds` is true.
 async fn eventually<F>(holds: F) -> bool
 where
     F: Fn() -> bool,
@@ -137,24 +136,23 @@
 
 #[gtest]
 fn send_late_order() {
-    // A holder was paused right before it sent an order, lost its lease, and
-    // goes on. The endpoint that checks refuses the order. The other one obeys
-    // and drops the model that callers need, until the new holder has read that
-    // back and put it right.
+    // A holder was paused right before it sent an order, lost its lease, and resumes. The
+    // endpoint that checks fencing numbers refuses the order. The other one applies it and
+    // drops the wanted model, until the new holder reads this back and corrects it.
     actix_rt::System::new().block_on(async {
         let (checking, plain) = (Engine::start(true), Engine::start(false));
         let clock = Clock::start();
-        let force = Force {
+        let force = InForce {
             document: Arc::new(document(&[&checking, &plain])),
             until: Time::MAX,
         };
         let platform = Platform::new(1);
         let setting = Setting::new("placement/muscat", "n1".into(), 1);
-        let keeper = Keeper::new(platform.clone(), clock, setting);
-        actix_rt::spawn(keeper.clone().run());
-        keeper.contend(true);
+        let elector = Elector::new(platform.clone(), clock, setting);
+        actix_rt::spawn(elector.clone().run());
+        elector.contend(true);
         let force = Arc::new(Cell::new(force));
-        let placer = Placer::new("muscat".into(), keeper.clone(), platform, clock, force);
+        let placer = Placer::new("muscat".into(), elector.clone(), platform, clock, force);
         actix_rt::spawn(placer.run());
 
         let wanted = vec![load("2")];
@@ -170,7 +168,10 @@
         expect_that!(obeyed, eq(&Ok(())));
         expect_that!(plain.hold(), eq(&vec![load("1")]));
         expect_that!(eventually(both).await, eq(true));
-        expect_that!(plain.state.borrow().fence, eq(keeper.held().unwrap().epoch));
+        expect_that!(
+            plain.state.borrow().fence,
+            eq(elector.held().unwrap().epoch)
+        );
     });
 }
 
@@ -187,19 +188,19 @@
 }
 
 #[gtest]
-fn obey_json() {
-    // The paths are for engines that others write, so that the text is fixed.
+fn apply_json() {
+    // Third-party engines implement this protocol, so its JSON form is fixed.
     let order: Order = serde_json::from_str(
         r#"{"fence":7,"hold":[{"model":"m","version":"2","adapters":["a"]}],"role":"prefill"}"#,
     )
     .unwrap();
     let mut state = State::default();
-    expect_that!(state.obey(order, true), ok(anything()));
+    expect_that!(state.apply(order, true), ok(anything()));
     let text = serde_json::to_string(&state).unwrap();
     let expected =
         r#"{"fence":7,"hold":[{"model":"m","version":"2","adapters":["a"]}],"role":"prefill"}"#;
     expect_that!(text, eq(expected));
     let short: Order = serde_json::from_str(r#"{"fence":6,"hold":[]}"#).unwrap();
-    expect_that!(state.obey(short.clone(), true), err(anything()));
-    expect_that!(state.obey(short, false), ok(anything()));
+    expect_that!(state.apply(short.clone(), true), err(anything()));
+    expect_that!(state.apply(short, false), ok(anything()));
 }
--- a/tests/platform_decode.rs
+++ b/tests/platform_decode.rs
@@ -1,4 +1,4 @@
-//! The platform's own formats, decoded into the product's types.
+//! Decoding of the platform's formats into the product's types.
 
 use std::time::Duration;
 
@@ -43,19 +43,18 @@
 fn settings_parse() {
     let site = settings::parse(SETTINGS).unwrap();
     expect_that!(&*site.node, eq("edge-1"));
-    expect_that!(site.power, eq(500));
+    expect_that!(site.cpu_millicores, eq(500));
     expect_that!(site.listen.pool.to_string(), eq("10.1.0.10:7720"));
     expect_that!(site.listen.link.to_string(), eq("10.1.0.10:7721"));
     expect_that!(site.bounds.grace, eq(Duration::from_secs(8)));
-    expect_that!(site.store.row_bytes, eq(65_536));
+    expect_that!(site.store.max_row_bytes, eq(65_536));
 }
 
-/// The platform's file lacks a field or has an impossible one. A node that
-/// started all the same would listen or wait wrongly, which nobody would notice
-/// before a request is lost.
+/// The platform's file lacks a field or has an invalid one. A node that started anyway would use a
+/// wrong address or time-out, which would go unnoticed until a request is lost.
 #[gtest]
-fn settings_impossible() {
-    for (right, wrong, names) in [
+fn settings_invalid_value() {
+    for (valid, invalid, key) in [
         ("zone = \"z1\"", "", "zone"),
         ("[7720, 7735]", "[7735, 7720]", "port_range"),
         ("[7720, 7735]", "[7720, 7721]", "port_range"),
@@ -63,14 +62,14 @@
         ("cpu_share = 0.5", "cpu_share = -0.5", "cpu_share"),
         ("10.200.1.7:8169", "10.200.1.7", "address"),
     ] {
-        let text = SETTINGS.replacen(right, wrong, 1);
+        let text = SETTINGS.replacen(valid, invalid, 1);
         let error = settings::parse(&text).unwrap_err();
-        expect_that!(format!("{error:#}"), contains_substring(names));
+        expect_that!(format!("{error:#}"), contains_substring(key));
     }
 }
 
-/// An operator mends a file that has several faults. Hearing of one at a time,
-/// they would start the node as often as there are faults.
+/// A file has several problems. With one reported at a time, the operator would have to start the
+/// node once for each of them.
 #[gtest]
 fn settings_every_problem() {
     let text = SETTINGS
@@ -94,9 +93,12 @@
 }
 
 #[gtest]
-fn settings_is_meant() {
-    expect_that!(settings::is_meant(SETTINGS), eq(true));
-    expect_that!(settings::is_meant("[node]\nname = \"n\""), eq(false));
+fn settings_is_platform_format() {
+    expect_that!(settings::is_platform_format(SETTINGS), eq(true));
+    expect_that!(
+        settings::is_platform_format("[node]\nname = \"n\""),
+        eq(false)
+    );
 }
 
 const CONFIG: &str = r#"{"version":7,"routes":[
@@ -151,7 +153,8 @@
     expect_that!(first, eq(900));
 }
 
-/// A row that is no configuration arrives; the last good one must stay.
+/// The row is not a valid configuration: decoding must fail, so that the last valid one stays in
+/// force.
 #[gtest]
 fn config_undecodable() {
     for text in ["", "{", "[]", r#"{"version":"x"}"#] {
@@ -169,12 +172,12 @@
     };
     let entry = endpoint::from_row(&row).unwrap();
     expect_that!(entry.endpoint.unwrap().ready, eq(false));
-    let gone = Change {
+    let removal = Change {
         key: "i-1".into(),
         version: 4,
         value: None,
     };
-    expect_that!(endpoint::from_change(&gone).unwrap().endpoint, none());
+    expect_that!(endpoint::from_change(&removal).unwrap().endpoint, none());
 }
 
 fn decode(method: &str, target: &str) -> Call {
@@ -192,7 +195,7 @@
     expect_that!(decode("GET", "/-/readyz"), eq(&Call::Ready));
     expect_that!(
         decode("GET", "/-/resolve?name=h&region=r&zone=z%31"),
-        matches_pattern!(Call::Resolve(matches_pattern!(call::Place {
+        matches_pattern!(Call::Resolve(matches_pattern!(call::Location {
             zone: eq(&"z1".into()),
             ..
         })))
@@ -205,23 +208,23 @@
     );
     expect_that!(
         decode("DELETE", "/-/lots/j1"),
-        eq(&Call::End { job: "j1".into() })
+        eq(&Call::EndJob { job: "j1".into() })
     );
 }
 
-/// A reader sends a position that is no number; it must hear so, and not get the
-/// results from the start.
+/// A caller reads results from a position that is not a number, or calls an unknown path. It must
+/// get an error, and not the results from the start.
 #[gtest]
-fn call_wrong() {
+fn call_invalid() {
     for target in ["/-/lots/j?after=x", "/-/lots/j?after=-1"] {
         expect_that!(
             decode("GET", target),
-            matches_pattern!(Call::Wrong(eq(&StatusCode::BAD_REQUEST), anything()))
+            matches_pattern!(Call::Invalid(eq(&StatusCode::BAD_REQUEST), anything()))
         );
     }
     expect_that!(
         decode("GET", "/-/nothing"),
-        matches_pattern!(Call::Wrong(eq(&StatusCode::NOT_FOUND), anything()))
+        matches_pattern!(Call::Invalid(eq(&StatusCode::NOT_FOUND), anything()))
     );
 }
 
@@ -243,10 +246,10 @@
     expect_that!(items[0].tokens, eq(9));
 }
 
-/// A job with a wrong item must be refused whole, with what is wrong; accepted
-/// in part it would never be complete.
+/// A job with an invalid item must be refused as a whole, with the reason: a job that is accepted in
+/// part would never be complete.
 #[gtest]
-fn job_wrong() {
+fn job_invalid() {
     let many: Vec<(String, &str)> = (0..201).map(|at| (format!("i{at}"), "")).collect();
     let many: Vec<(&str, &str)> = many.iter().map(|(id, body)| (id.as_str(), *body)).collect();
     for (body, names) in [
@@ -254,7 +257,7 @@
         (submission(&[("i1", ""), ("i1", "")]), "same id"),
         (submission(&[]), "1 to 200"),
         (submission(&many), "1 to 200"),
-        ("{".to_owned(), "no job"),
+        ("{".to_owned(), "not a valid job"),
     ] {
         let error = job::decode(body.as_bytes()).unwrap_err();
         expect_that!(error, contains_substring(names));
@@ -263,11 +266,11 @@
 
 #[gtest]
 fn endpoint_other_writers() {
-    // An entry comes from another writer, or a fault garbled it. Were it read as
-    // an endpoint with what is missing guessed, requests would go where nothing
-    // answers; it names no endpoint, and the other entries hold.
+    // A row comes from another program or is corrupted. If it were decoded with defaults for the
+    // missing fields, requests would be sent to an address where nothing answers. It must be
+    // rejected as a whole, and other rows stay valid.
     let good = r#"{"service":"s","address":"10.128.0.9:8080","zone":"z1","slots":8,"state":"ready","born":1700000000000}"#;
-    let wrong = [
+    let invalid = [
         "",
         "{",
         "[]",
@@ -292,7 +295,7 @@
     };
     let entry = endpoint::from_row(&row(good.as_bytes())).unwrap();
     expect_that!(entry.endpoint.unwrap().incarnation, eq(1_700_000_000_000));
-    for value in wrong {
+    for value in invalid {
         let unreadable = endpoint::from_row(&row(value.as_bytes())).unwrap_err();
         expect_that!(unreadable.version, eq(3), "of {value}");
         expect_that!(*unreadable.id, eq("i-1"));
--- a/tests/pool_admission.rs
+++ b/tests/pool_admission.rs
@@ -1,5 +1,5 @@
-//! Admission to the endpoints of a service: who gets a place, who waits, who is
-//! told to come back, and which batch run gives way.
+//! Admission control of a service's endpoints: grants, queueing, refusals and
+//! preemption of batch runs.
 
 #[path = "support/pool.rs"]
 mod support;
@@ -11,16 +11,16 @@
 use auburnspoke::catalog::Endpoint;
 use auburnspoke::clock::Time;
 use auburnspoke::name::Name;
-use auburnspoke::pool::message::{Ask, Class, End, Hold};
-use auburnspoke::pool::{Action, Judgement, Pool};
+use auburnspoke::pool::message::{Class, End, Renewal, Requirements};
+use auburnspoke::pool::{Action, Pool, Transition};
 use auburnspoke::quarantine::Fingerprint;
 use googletest::prelude::*;
-use support::{SLOTS, ask, at, endpoint, key, pool};
+use support::{SLOTS, at, endpoint, key, needs, pool};
 
-/// Asks at `now` and returns what the pool does.
-fn decide(pool: &mut Pool, now: Time, seq: u64, ask: Ask) -> Vec<Action> {
+/// Requests a slot at `now` and returns the pool's actions.
+fn decide(pool: &mut Pool, now: Time, seq: u64, requirements: Requirements) -> Vec<Action> {
     let mut actions = Vec::new();
-    pool.ask(now, key(seq), ask, &mut actions);
+    pool.acquire(now, key(seq), requirements, &mut actions);
     pool.step(now, &mut actions);
     actions
 }
@@ -32,62 +32,69 @@
     })
 }
 
-/// Fills every slot that batch work may take, as it does in a valley.
+/// Fills every slot available to batch work, and returns the last sequence number.
 fn fill_with_batch(pool: &mut Pool) -> u64 {
-    decide(pool, at(0), 1, ask(Class::Batch, 1_000));
+    decide(pool, at(0), 1, needs(Class::Batch, 1_000));
     let mut seq = 2;
-    while granted(&decide(pool, at(500), seq, ask(Class::Batch, 1_000 + seq))).is_some() {
+    while granted(&decide(
+        pool,
+        at(500),
+        seq,
+        needs(Class::Batch, 1_000 + seq),
+    ))
+    .is_some()
+    {
         seq += 1;
     }
     seq
 }
 
 #[gtest]
-fn ask_free_slot() {
+fn acquire_free_slot() {
     let mut pool = pool(1);
     expect_that!(
-        granted(&decide(&mut pool, at(0), 1, ask(Class::Online, 5_000))),
+        granted(&decide(&mut pool, at(0), 1, needs(Class::Online, 5_000))),
         some(eq("e0"))
     );
 }
 
-/// A burst of questions arrives while batch work holds the slots. Each question
-/// must start at once and not behind a batch item, which runs for seconds.
+/// A burst of online requests arrives while batch work holds the slots. Each of them
+/// must start at once and not wait for a batch item, which runs for seconds.
 #[gtest]
-fn ask_online_stops_batch() {
+fn acquire_online_stops_batch() {
     let mut pool = pool(2);
     let next = fill_with_batch(&mut pool) + 1;
     let mut stopped = 0;
     for seq in next..next + u64::from(2 * SLOTS) {
-        let actions = decide(&mut pool, at(510), seq, ask(Class::Online, 5_000));
+        let actions = decide(&mut pool, at(510), seq, needs(Class::Online, 5_000));
         expect_that!(granted(&actions), some(anything()));
         stopped += actions
             .iter()
             .filter(|action| matches!(action, Action::Stop(_)))
             .count();
     }
-    // One slot was kept free of batch work.
+    // One slot is reserved for online requests.
     expect_that!(stopped, eq(usize::try_from(2 * SLOTS - 1).unwrap()));
 }
 
-/// The run that is due last can wait longest, so it gives way first.
+/// The batch run that is due last is preempted first.
 #[gtest]
 fn stop_latest_due() {
     let mut pool = pool(1);
     let last = fill_with_batch(&mut pool) - 1;
-    decide(&mut pool, at(510), 900, ask(Class::Online, 5_000));
-    let actions = decide(&mut pool, at(510), 901, ask(Class::Online, 5_000));
+    decide(&mut pool, at(510), 900, needs(Class::Online, 5_000));
+    let actions = decide(&mut pool, at(510), 901, needs(Class::Online, 5_000));
     expect_that!(actions, contains(eq(&Action::Stop(key(last)))));
 }
 
-/// The datagram with a stop gets lost. The batch run would hold a slot that is
-/// counted as free, and a question would wait at the endpoint behind it.
+/// The datagram with a stop gets lost. If it were not resent, the batch run would keep
+/// a slot that counts as free, and an online request would wait behind it at the endpoint.
 #[gtest]
-fn stop_repeated_until_obeyed() {
+fn stop_repeated_until_ended() {
     let mut pool = pool(1);
     let last = fill_with_batch(&mut pool) - 1;
-    decide(&mut pool, at(510), 900, ask(Class::Online, 5_000));
-    decide(&mut pool, at(510), 901, ask(Class::Online, 5_000));
+    decide(&mut pool, at(510), 900, needs(Class::Online, 5_000));
+    decide(&mut pool, at(510), 901, needs(Class::Online, 5_000));
     let mut actions = Vec::new();
     pool.step(at(700), &mut actions);
     expect_that!(actions, contains(eq(&Action::Stop(key(last)))));
@@ -97,21 +104,21 @@
     expect_that!(actions, not(contains(eq(&Action::Stop(key(last))))));
 }
 
-/// Every slot holds a question and more come than can start in their time. Each
-/// further one is told at once when to come back, spread over time, so that they
-/// don't return together.
+/// Every slot holds an online request, and more arrive than can start in time. Each
+/// further one is refused at once, with retry delays that differ so that the retries
+/// do not come all together.
 #[gtest]
-fn ask_overload_refused_at_once() {
+fn acquire_overload_refused_at_once() {
     let mut pool = pool(1);
     let mut refused = Vec::new();
     for seq in 0..60 {
-        for action in decide(&mut pool, at(0), seq, ask(Class::Online, 5_000)) {
+        for action in decide(&mut pool, at(0), seq, needs(Class::Online, 5_000)) {
             if let Action::Refuse(_, after) = action {
                 refused.push(after);
             }
         }
     }
-    // Eight run; in 230 ms two or three more slots get free.
+    // Eight run; two or three more slots become free within 230 ms.
     expect_that!(refused.len(), ge(48));
     let mut distinct = refused.clone();
     distinct.sort();
@@ -120,13 +127,13 @@
     expect_that!(refused, each(le(&Duration::from_secs(2))));
 }
 
-/// A request that can't start in its time is refused when that becomes known,
-/// not when its time has passed.
+/// A request that can't start within its maximum wait is refused as soon as this is
+/// known, not when the time has passed.
 #[gtest]
-fn ask_patience_over() {
+fn acquire_max_wait_exceeded() {
     let mut pool = pool(1);
     for seq in 0..9 {
-        decide(&mut pool, at(0), seq, ask(Class::Online, 5_000));
+        decide(&mut pool, at(0), seq, needs(Class::Online, 5_000));
     }
     let mut actions = Vec::new();
     pool.step(at(150), &mut actions);
@@ -136,26 +143,26 @@
     );
 }
 
-/// A gateway dies with what it holds. Its slots must not stay taken for good.
+/// A gateway crashes while it holds permits. Their slots must become free again.
 #[gtest]
 fn expire_gateway_gone() {
     let mut pool = pool(1);
     for seq in 0..8 {
-        decide(&mut pool, at(0), seq, ask(Class::Online, 5_000));
+        decide(&mut pool, at(0), seq, needs(Class::Online, 5_000));
     }
-    let actions = decide(&mut pool, at(1_800), 100, ask(Class::Online, 5_000));
+    let actions = decide(&mut pool, at(1_800), 100, needs(Class::Online, 5_000));
     expect_that!(granted(&actions), some(eq("e0")));
 }
 
-/// The pool's node dies and another one begins without knowing who holds what.
-/// It learns that from the gateways before it gives batch work anything, so that
-/// no endpoint gets more requests than it has slots.
+/// The pool's node crashes and another one starts without the permits. It must receive
+/// renewals from the gateways before it grants batch work, so that no endpoint gets
+/// more requests than it has slots.
 #[gtest]
-fn hold_new_pool_learns() {
+fn renew_new_pool_learns() {
     let mut pool = pool(1);
     let mut actions = Vec::new();
     for seq in 0..8 {
-        let hold = Hold {
+        let renewal = Renewal {
             seq,
             endpoint: "e0".into(),
             class: Class::Batch,
@@ -163,56 +170,55 @@
             request: Fingerprint(0),
             suspect: false,
             due: Duration::from_secs(9),
-            begun: false,
+            answering: false,
         };
-        pool.hold(at(0), key(seq), &hold, &mut actions);
+        pool.renew(at(0), key(seq), &renewal, &mut actions);
     }
-    let actions = decide(&mut pool, at(450), 100, ask(Class::Batch, 5_000));
+    let actions = decide(&mut pool, at(450), 100, needs(Class::Batch, 5_000));
     expect_that!(granted(&actions), none());
 }
 
 #[gtest]
-fn ask_batch_while_learning() {
+fn acquire_batch_while_learning() {
     let mut pool = pool(1);
     expect_that!(
-        granted(&decide(&mut pool, at(0), 1, ask(Class::Batch, 5_000))),
+        granted(&decide(&mut pool, at(0), 1, needs(Class::Batch, 5_000))),
         none()
     );
 }
 
-/// The datagram with a grant gets lost and the gateway asks again; it must get
-/// the same place and not a second one.
+/// The datagram with a grant gets lost and the gateway repeats its request. It must get
+/// the same slot and not a second one.
 #[gtest]
-fn ask_grant_lost() {
+fn acquire_grant_lost() {
     let mut pool = pool(1);
-    decide(&mut pool, at(0), 1, ask(Class::Online, 5_000));
-    decide(&mut pool, at(25), 1, ask(Class::Online, 5_000));
+    decide(&mut pool, at(0), 1, needs(Class::Online, 5_000));
+    decide(&mut pool, at(25), 1, needs(Class::Online, 5_000));
     expect_that!(pool.gauge().held, eq(1));
 }
 
-/// An endpoint crashed. While it is down each try costs a caller time, so it is
-/// left out for a while and then tried with one request.
+/// An endpoint crashed. While it is down each attempt delays a caller, so it is
+/// ejected for a while and then tried with a single request.
 #[gtest]
-fn release_failed_endpoint_left_out() {
+fn release_failed_endpoint_ejected() {
     let mut pool = pool(2);
-    let mut avoided = ask(Class::Online, 5_000);
+    let mut avoided = needs(Class::Online, 5_000);
     avoided.avoid = vec!["e1".into()];
     decide(&mut pool, at(0), 1, avoided);
     pool.release(at(1), key(1), End::Failed);
     for seq in 2..10 {
-        let actions = decide(&mut pool, at(2), seq, ask(Class::Online, 5_000));
+        let actions = decide(&mut pool, at(2), seq, needs(Class::Online, 5_000));
         expect_that!(granted(&actions), some(eq("e1")));
     }
-    let actions = decide(&mut pool, at(600), 10, ask(Class::Online, 5_000));
+    let actions = decide(&mut pool, at(600), 10, needs(Class::Online, 5_000));
     expect_that!(granted(&actions), some(eq("e0")));
-    let actions = decide(&mut pool, at(600), 11, ask(Class::Online, 5_000));
+    let actions = decide(&mut pool, at(600), 11, needs(Class::Online, 5_000));
     expect_that!(granted(&actions), none());
 }
 
-/// All nodes were killed and are back, and callers return at once. Until the
-/// nodes have found each other each admits by a pool of its own. If these agreed
-/// on which endpoint is the best of equals, it would get a request of each node,
-/// and callers would wait there while other endpoints have nothing to do.
+/// After a restart of all nodes, each node runs its own pool until they have discovered
+/// each other. If all pools broke ties between endpoints alike, one endpoint would get a
+/// request of each node, and callers would wait there while other endpoints are idle.
 #[gtest]
 fn grant_many_pools() {
     let mut held: BTreeMap<String, u32> = BTreeMap::new();
@@ -221,7 +227,7 @@
         let mut pool = Pool::new(salt);
         pool.set_endpoints(all.iter());
         for seq in 0..9 {
-            let mut anywhere = ask(Class::Online, 5_000);
+            let mut anywhere = needs(Class::Online, 5_000);
             anywhere.zone = "elsewhere".into();
             let id = granted(&decide(&mut pool, at(0), seq, anywhere)).unwrap();
             *held.entry(id).or_default() += 1;
@@ -231,7 +237,7 @@
     expect_that!(waiting, le(3), "{held:?}");
 }
 
-/// An endpoint that is leaving must get nothing more.
+/// An endpoint that is leaving must not get further requests.
 #[gtest]
 fn set_endpoints_leaving() {
     let mut pool = pool(1);
@@ -241,20 +247,20 @@
     });
     pool.set_endpoints([leaving].iter());
     expect_that!(
-        granted(&decide(&mut pool, at(0), 1, ask(Class::Online, 5_000))),
+        granted(&decide(&mut pool, at(0), 1, needs(Class::Online, 5_000))),
         none()
     );
 }
 
-/// An endpoint crashes with all of its slots in use, and answers again a second
-/// later. Every run on it breaks off at once; together they tell no more than
-/// one of them, and it must not stay closed for seconds because there were many.
+/// An endpoint crashes with all of its slots in use and is back a second later. All of
+/// its runs fail at once, which must count as a single failure; otherwise it would stay
+/// paused for seconds.
 #[gtest]
-fn release_errors_together() {
+fn release_errors_at_once() {
     let mut pool = pool(3);
     let mut first = BTreeSet::new();
     for seq in 0..u64::from(3 * SLOTS) {
-        let actions = decide(&mut pool, at(0), seq, ask(Class::Online, 5_000));
+        let actions = decide(&mut pool, at(0), seq, needs(Class::Online, 5_000));
         if granted(&actions).as_deref() == Some("e0") {
             first.insert(seq);
         }
@@ -268,22 +274,22 @@
         }
     }
     expect_that!(broken, eq(u64::from(SLOTS)));
-    let closed = decide(&mut pool, at(20), again, ask(Class::Online, 5_000));
+    let closed = decide(&mut pool, at(20), again, needs(Class::Online, 5_000));
     expect_that!(granted(&closed), none());
     pool.release(at(21), key(again), End::Left);
     again += 1;
-    let open = decide(&mut pool, at(700), again, ask(Class::Online, 5_000));
+    let open = decide(&mut pool, at(700), again, needs(Class::Online, 5_000));
     expect_that!(granted(&open), some(eq("e0")));
 }
 
-/// A clerk was refused although one endpoint had nothing to do. Whoever looks
-/// into it needs to see when it was left out, why, and when it was trusted again.
+/// When a request is refused although an endpoint is idle, the log must show when and
+/// why that endpoint was ejected, and when it was restored.
 #[gtest]
-fn judged_left_out_and_trusted() {
+fn health_changed_ejected_and_restored() {
     let mut pool = pool(2);
     let mut actions = Vec::new();
     for seq in 0..3 {
-        let mut to_first = ask(Class::Online, 5_000);
+        let mut to_first = needs(Class::Online, 5_000);
         to_first.avoid = vec!["e1".into()];
         decide(&mut pool, at(seq), seq, to_first);
         pool.release(at(seq), key(seq), End::Error);
@@ -291,8 +297,8 @@
     pool.step(at(10), &mut actions);
     expect_that!(
         actions,
-        elements_are![matches_pattern!(Action::Judged(matches_pattern!(
-            Judgement::LeftOut {
+        elements_are![matches_pattern!(Action::HealthChanged(matches_pattern!(
+            Transition::Ejected {
                 endpoint: eq(&Name::from("e0")),
                 strikes: eq(&1),
                 errors_online: eq(&488),
@@ -302,32 +308,31 @@
     );
     let mut trusted = Vec::new();
     for seq in 10..16 {
-        let mut to_first = ask(Class::Online, 5_000);
+        let mut to_first = needs(Class::Online, 5_000);
         to_first.avoid = vec!["e1".into()];
         decide(&mut pool, at(600 + seq), seq, to_first);
         pool.release(at(600 + seq), key(seq), End::Done);
         pool.step(at(600 + seq), &mut trusted);
     }
-    let expected = Action::Judged(Judgement::Trusted {
+    let expected = Action::HealthChanged(Transition::Restored {
         endpoint: "e0".into(),
     });
     expect_that!(trusted, contains(eq(&expected)));
 }
 
-/// Half of the batch items of a job can never be done, and every endpoint says
-/// so. That is the items' fault; no endpoint may be left out for it, or
-/// questions would find none.
+/// Half of the batch items of a job fail on every endpoint. The items are at fault, so
+/// no endpoint may be ejected; otherwise none would be left for online requests.
 #[gtest]
-fn release_errors_everywhere() {
+fn release_errors_on_every_endpoint() {
     let mut pool = pool(3);
-    decide(&mut pool, at(0), 1, ask(Class::Batch, 5_000));
+    decide(&mut pool, at(0), 1, needs(Class::Batch, 5_000));
     pool.release(at(0), key(1), End::Left);
     let mut seq = 1;
     for round in 0..40 {
         let now = at(500 + round * 20);
         let held: Vec<u64> = (seq + 1..=seq + 3).collect();
         for seq in &held {
-            let actions = decide(&mut pool, now, *seq, ask(Class::Batch, 5_000));
+            let actions = decide(&mut pool, now, *seq, needs(Class::Batch, 5_000));
             expect_that!(granted(&actions), some(anything()));
         }
         for seq in &held {
@@ -338,18 +343,17 @@
     }
     for _ in 0..3 * SLOTS {
         seq += 1;
-        let actions = decide(&mut pool, at(1_400), seq, ask(Class::Online, 5_000));
+        let actions = decide(&mut pool, at(1_400), seq, needs(Class::Online, 5_000));
         expect_that!(granted(&actions), some(anything()));
     }
 }
 
-/// Every endpoint of a small service has failed a question once. There is no
-/// other left to go to, and one of them may well answer it now; without a place
-/// the clerk would wait until the deadline.
+/// Every endpoint of a small service has failed a request once. All must be tried again;
+/// otherwise the request would wait until its deadline.
 #[gtest]
-fn ask_every_endpoint_avoided() {
+fn acquire_every_endpoint_avoided() {
     let mut pool = pool(2);
-    let mut avoided = ask(Class::Online, 5_000);
+    let mut avoided = needs(Class::Online, 5_000);
     avoided.avoid = vec!["e0".into(), "e1".into()];
     expect_that!(
         granted(&decide(&mut pool, at(0), 1, avoided)),
@@ -357,14 +361,14 @@
     );
 }
 
-/// An endpoint failed, full of requests, and its process starts again under the
-/// same id. Were what is remembered of the earlier process kept, it would stand
-/// idle for seconds while callers wait for a place.
+/// An endpoint fails with all slots in use, and its process restarts under the same id.
+/// If the state of the previous process were kept, the endpoint would be idle for
+/// seconds while callers wait for a slot.
 #[gtest]
 fn set_endpoints_restarted() {
     let mut pool = pool(1);
     for seq in 0..u64::from(SLOTS) {
-        decide(&mut pool, at(0), seq, ask(Class::Online, 5_000));
+        decide(&mut pool, at(0), seq, needs(Class::Online, 5_000));
     }
     pool.release(at(1), key(0), End::Failed);
     let restarted = Arc::new(Endpoint {
@@ -373,21 +377,21 @@
     });
     pool.set_endpoints([restarted].iter());
     for seq in 100..100 + u64::from(SLOTS) {
-        let actions = decide(&mut pool, at(2), seq, ask(Class::Online, 5_000));
+        let actions = decide(&mut pool, at(2), seq, needs(Class::Online, 5_000));
         expect_that!(granted(&actions), some(eq("e0")));
     }
 }
 
-/// One organisation hands in a thousand jobs, and a moment later another one its
-/// single job. All of the first one's are due before it; served in that order the
-/// single job would be late by all of their time, and its planner without a sheet.
+/// One organisation submits many jobs, and shortly afterwards another one submits a
+/// single job that is due after them. Served strictly by due time, the single job would
+/// be late by the duration of all the others.
 #[gtest]
-fn ask_batch_between_organisations() {
-    let of = |organisation, due_ms| Ask {
+fn acquire_batch_between_organisations() {
+    let of = |organisation, due_ms| Requirements {
         organisation,
         request: Fingerprint(0),
         suspect: false,
-        ..ask(Class::Batch, due_ms)
+        ..needs(Class::Batch, due_ms)
     };
     let mut pool = pool(2);
     decide(&mut pool, at(0), 1, of(1, 5_000));
--- a/tests/quarantine_evidence.rs
+++ b/tests/quarantine_evidence.rs
@@ -1,26 +1,26 @@
-//! Which request is to blame for endpoints that ended, and for how long.
+//! Verdicts on requests that crash endpoints, their duration, and the placement of suspects.
 
 use std::time::Duration;
 
 use auburnspoke::clock::Time;
-use auburnspoke::connect::Listener;
-use auburnspoke::pool::message::{Ask, Class, End};
+use auburnspoke::connect::Reachability;
+use auburnspoke::pool::message::{Class, End, Requirements};
 use auburnspoke::pool::{Action, Key, Pool};
 use auburnspoke::quarantine::Fingerprint;
-use auburnspoke::quarantine::evidence::{Crash, Evidence, Moment, Standing};
-use auburnspoke::quarantine::loss::{Entry, Finding, judge, judge_later};
+use auburnspoke::quarantine::evidence::{Crash, Evidence, Stage, Status};
+use auburnspoke::quarantine::loss::{Entry, Finding, classify, classify_later};
 use auburnspoke::quarantine::record::Observation;
 use googletest::prelude::*;
 
 #[path = "support/pool.rs"]
 mod support;
 
-use support::{ask, at, key, pool};
+use support::{at, key, needs, pool};
 
 const KILLER: Fingerprint = Fingerprint(1);
 const OTHER: Fingerprint = Fingerprint(2);
-/// A first verdict's term.
-const TERM: u64 = 900_000;
+/// Term of a first verdict.
+const TERM_MS: u64 = 900_000;
 
 fn crash(number: u64) -> Crash {
     Crash {
@@ -31,9 +31,9 @@
 
 fn crashed(evidence: &mut Evidence, now: Time, number: u64, requests: &[Fingerprint]) {
     for request in requests {
-        evidence.add(now, crash(number), *request, Moment::Soon);
+        evidence.add_crash(now, crash(number), *request, Stage::Early);
     }
-    evidence.weigh(now);
+    evidence.update_blame(now);
 }
 
 fn verdicts(evidence: &mut Evidence, now: Time) -> Vec<Fingerprint> {
@@ -48,22 +48,22 @@
         crashed(&mut evidence, at(number), number, &[KILLER]);
     }
     expect_that!(
-        evidence.standing(at(2), KILLER),
-        matches_pattern!(Standing::Held(_))
+        evidence.status(at(2), KILLER),
+        matches_pattern!(Status::Held(_))
     );
     expect_that!(verdicts(&mut evidence, at(2)), is_empty());
     expect_that!(verdicts(&mut evidence, at(900)), elements_are![eq(&KILLER)]);
-    expect_that!(evidence.standing(at(900), KILLER), eq(Standing::Condemned));
+    expect_that!(evidence.status(at(900), KILLER), eq(Status::Condemned));
 }
 
-/// A batch item runs for seconds and is run again after each crash. On a day on which
-/// endpoints crash by themselves it meets some of them; three must not condemn it.
+/// A batch item runs for seconds and is retried after each crash. Where endpoints crash for
+/// other reasons it runs into several of these crashes; three must not condemn it.
 #[gtest]
 fn step_long_runs() {
     let mut evidence = Evidence::default();
     for number in 0..6 {
         expect_that!(verdicts(&mut evidence, at(1_000 * number)), is_empty());
-        evidence.add(at(1_000 * number), crash(number), OTHER, Moment::Late);
+        evidence.add_crash(at(1_000 * number), crash(number), OTHER, Stage::Late);
     }
     expect_that!(
         verdicts(&mut evidence, at(7_000)),
@@ -71,7 +71,7 @@
     );
 }
 
-/// One crash is seen by several nodes, and told more than once.
+/// A crash that several nodes observe and report repeatedly counts once.
 #[gtest]
 fn add_same_crash() {
     let mut evidence = Evidence::default();
@@ -79,23 +79,23 @@
         crashed(&mut evidence, at(0), 1, &[KILLER]);
     }
     expect_that!(verdicts(&mut evidence, at(1_000)), is_empty());
-    expect_that!(evidence.standing(at(1_000), KILLER), eq(Standing::Suspect));
+    expect_that!(evidence.status(at(1_000), KILLER), eq(Status::Suspect));
 }
 
 /// Another request ran beside the killer at each endpoint but one: it is not to blame.
 #[gtest]
-fn step_neighbour_innocent() {
+fn step_neighbour_clear() {
     let mut evidence = Evidence::default();
     for number in 0..3 {
         crashed(&mut evidence, at(0), number, &[KILLER, OTHER]);
     }
     crashed(&mut evidence, at(0), 3, &[KILLER]);
     expect_that!(verdicts(&mut evidence, at(900)), elements_are![eq(&KILLER)]);
-    expect_that!(evidence.standing(at(900), OTHER), eq(Standing::Clear));
+    expect_that!(evidence.status(at(900), OTHER), eq(Status::Clear));
 }
 
-/// Two that ran together each time can't be told apart: both run on, one by one, until
-/// a crash tells which it was.
+/// Two requests that ran together at each crash can't be told apart: both may still run, one
+/// at a time, until a further crash shows which one is to blame.
 #[gtest]
 fn step_tied() {
     let mut evidence = Evidence::default();
@@ -103,13 +103,13 @@
         crashed(&mut evidence, at(0), number, &[KILLER, OTHER]);
     }
     expect_that!(verdicts(&mut evidence, at(900)), is_empty());
-    expect_that!(evidence.standing(at(900), KILLER), eq(Standing::Suspect));
+    expect_that!(evidence.status(at(900), KILLER), eq(Status::Suspect));
     crashed(&mut evidence, at(1_000), 3, &[KILLER]);
     expect_that!(
         verdicts(&mut evidence, at(1_900)),
         elements_are![eq(&KILLER)]
     );
-    expect_that!(evidence.standing(at(1_900), OTHER), eq(Standing::Clear));
+    expect_that!(evidence.status(at(1_900), OTHER), eq(Status::Clear));
 }
 
 /// Two killers that never run together are both found, in one step.
@@ -125,21 +125,21 @@
     expect_that!(found, elements_are![eq(&KILLER), eq(&OTHER)]);
 }
 
-/// An answer that came whole speaks for a request: endpoints that end by themselves
-/// would condemn one that is sent often.
+/// A completed run clears a request: otherwise endpoints that crash for other reasons would
+/// condemn a request that is sent often.
 #[gtest]
-fn clear_whole_answer() {
+fn add_completion_clears() {
     let mut evidence = Evidence::default();
     crashed(&mut evidence, at(0), 1, &[OTHER]);
     crashed(&mut evidence, at(0), 2, &[OTHER]);
-    evidence.clear(at(10), OTHER);
-    expect_that!(evidence.standing(at(10), OTHER), eq(Standing::Clear));
+    evidence.add_completion(at(10), OTHER);
+    expect_that!(evidence.status(at(10), OTHER), eq(Status::Clear));
     crashed(&mut evidence, at(20), 3, &[OTHER]);
     expect_that!(verdicts(&mut evidence, at(1_000)), is_empty());
 }
 
-/// The fault in the model may have been mended: a verdict ends, and one crash more
-/// brings it back for longer.
+/// The fault in the model may have been fixed, so a verdict ends; a single further crash
+/// renews it with a longer term.
 #[gtest]
 fn step_verdict_ends() {
     let mut evidence = Evidence::default();
@@ -147,27 +147,27 @@
         crashed(&mut evidence, at(0), number, &[KILLER]);
     }
     evidence.step(at(900));
-    let ended = 900 + TERM;
+    let ended = 900 + TERM_MS;
     evidence.step(at(ended));
-    expect_that!(evidence.standing(at(ended), KILLER), eq(Standing::Suspect));
+    expect_that!(evidence.status(at(ended), KILLER), eq(Status::Suspect));
     crashed(&mut evidence, at(ended + 10), 9, &[KILLER, OTHER]);
     let again = evidence.step(at(ended + 900));
     expect_that!(again, len(eq(1)));
     expect_that!(again[0].request, eq(KILLER));
-    expect_that!(again[0].term, eq(Duration::from_millis(2 * TERM)));
+    expect_that!(again[0].term, eq(Duration::from_millis(2 * TERM_MS)));
 }
 
-/// A node that has just started knows of no crash, only what the store has.
+/// A node that has just started has seen no crash and relies on the stored verdicts.
 #[gtest]
-fn convict_from_store() {
+fn condemn_from_store() {
     let mut evidence = Evidence::default();
-    evidence.convict(at(0), KILLER, at(5_000), 1);
-    expect_that!(evidence.standing(at(0), KILLER), eq(Standing::Condemned));
-    expect_that!(evidence.standing(at(5_000), KILLER), eq(Standing::Suspect));
+    evidence.condemn(at(0), KILLER, at(5_000), 1);
+    expect_that!(evidence.status(at(0), KILLER), eq(Status::Condemned));
+    expect_that!(evidence.status(at(5_000), KILLER), eq(Status::Suspect));
 }
 
-/// A flood of different requests that each crash an endpoint must not take memory
-/// without end, nor push out what is known of the newest.
+/// A flood of distinct requests that each crash an endpoint must neither exhaust memory nor
+/// evict the newest crashes.
 #[gtest]
 fn add_flood() {
     let mut evidence = Evidence::default();
@@ -184,36 +184,36 @@
     expect_that!(evidence.is_known(Fingerprint(100 + 1_999)), eq(true));
 }
 
-/// A lost answer, a reset or cut path, and an endpoint that leaves as planned are no
+/// A lost answer, a reset or cut connection, and an endpoint that leaves as planned are no
 /// crash.
 #[gtest]
-fn judge_causes() {
-    use Finding::{Crashed, Innocent, Open};
+fn classify_causes() {
+    use Finding::{Crashed, NotCrashed, Undecided};
     let now = [
-        (Entry::Ready, Listener::Refused, Crashed),
-        (Entry::Replaced, Listener::Open, Crashed),
-        (Entry::Ready, Listener::Open, Open),
-        (Entry::Ready, Listener::Silent, Open),
-        (Entry::Draining, Listener::Refused, Innocent),
-        (Entry::Gone, Listener::Refused, Innocent),
+        (Entry::Ready, Reachability::Refused, Crashed),
+        (Entry::Replaced, Reachability::Open, Crashed),
+        (Entry::Ready, Reachability::Open, Undecided),
+        (Entry::Ready, Reachability::Silent, Undecided),
+        (Entry::Draining, Reachability::Refused, NotCrashed),
+        (Entry::Gone, Reachability::Refused, NotCrashed),
     ];
     for (entry, listener, finding) in now {
         expect_that!(
-            judge(entry, listener),
+            classify(entry, listener),
             eq(finding),
             "{entry:?} {listener:?}"
         );
     }
     let later = [
-        (Entry::Ready, Listener::Open, Open),
-        (Entry::Replaced, Listener::Open, Crashed),
-        (Entry::Gone, Listener::Silent, Crashed),
-        (Entry::Gone, Listener::Open, Innocent),
-        (Entry::Draining, Listener::Refused, Innocent),
+        (Entry::Ready, Reachability::Open, Undecided),
+        (Entry::Replaced, Reachability::Open, Crashed),
+        (Entry::Gone, Reachability::Silent, Crashed),
+        (Entry::Gone, Reachability::Open, NotCrashed),
+        (Entry::Draining, Reachability::Refused, NotCrashed),
     ];
     for (entry, listener, finding) in later {
         expect_that!(
-            judge_later(entry, listener),
+            classify_later(entry, listener),
             eq(finding),
             "{entry:?} {listener:?}"
         );
@@ -223,9 +223,9 @@
 #[gtest]
 fn note_round() {
     for observation in [
-        Observation::Crashed(KILLER, crash(7), Moment::Soon),
-        Observation::Crashed(KILLER, crash(7), Moment::Late),
-        Observation::Sound(OTHER),
+        Observation::Crashed(KILLER, crash(7), Stage::Early),
+        Observation::Crashed(KILLER, crash(7), Stage::Late),
+        Observation::Completed(OTHER),
     ] {
         let note = observation.note(1);
         expect_that!(Observation::read(&note), some(eq(&observation)));
@@ -247,15 +247,15 @@
     }
 }
 
-fn suspect(request: u64) -> Ask {
-    Ask {
+fn suspect(request: u64) -> Requirements {
+    Requirements {
         request: Fingerprint(request),
         suspect: true,
-        ..ask(Class::Online, 5_000)
+        ..needs(Class::Online, 5_000)
     }
 }
 
-/// The endpoints granted at `now`, by request.
+/// Returns the endpoints granted at `now`, by request.
 fn granted(pool: &mut Pool, now: Time) -> Vec<(Key, String)> {
     let mut actions = Vec::new();
     pool.step(now, &mut actions);
@@ -266,13 +266,13 @@
     grants.collect()
 }
 
-/// Repeats of a suspect at several gateways must not end as many endpoints at once.
+/// Copies of a suspect at several gateways must not crash several endpoints at once.
 #[gtest]
 fn ask_suspect_twice() {
     let mut pool = pool(4);
     let mut actions = Vec::new();
     for seq in 0..3 {
-        pool.ask(at(0), key(seq), suspect(7), &mut actions);
+        pool.acquire(at(0), key(seq), suspect(7), &mut actions);
     }
     let first = granted(&mut pool, at(0));
     expect_that!(first, len(eq(1)));
@@ -280,13 +280,13 @@
     expect_that!(granted(&mut pool, at(50)), len(eq(1)));
 }
 
-/// Two suspects at one endpoint could not be told apart when it ends.
+/// Two suspects at the same endpoint could not be told apart after a crash.
 #[gtest]
 fn ask_suspects_apart() {
     let mut pool = pool(3);
     let mut actions = Vec::new();
     for seq in 0..3 {
-        pool.ask(at(0), key(seq), suspect(seq + 1), &mut actions);
+        pool.acquire(at(0), key(seq), suspect(seq + 1), &mut actions);
     }
     let mut places: Vec<String> = granted(&mut pool, at(0))
         .into_iter()
@@ -296,51 +296,52 @@
     expect_that!(places, elements_are![eq("e0"), eq("e1"), eq("e2")]);
 }
 
-/// Each endpoint that a killer ends until all nodes know of it is missed by everybody
-/// else: after its second crash a request rests, and longer after each further one.
+/// Each endpoint that a killer crashes before all nodes have its verdict is lost to other
+/// requests: from the second crash on, the request is held back, longer after each crash.
 #[gtest]
-fn release_crashed_rests() {
+fn release_crashed_backoff() {
     let mut pool = pool(4);
     let mut actions = Vec::new();
     let mut now = 0;
     for (seq, rest) in [(0, 0), (1, 500), (2, 1_000)] {
-        pool.ask(at(now), key(seq), suspect(7), &mut actions);
+        pool.acquire(at(now), key(seq), suspect(7), &mut actions);
         let granted = granted(&mut pool, at(now));
         expect_that!(granted, len(eq(1)), "{seq}");
         pool.release(at(now), key(seq), End::Crashed);
         now += rest;
         if rest > 0 {
             let early = key(10 + seq);
-            pool.ask(at(now - 100), early, suspect(7), &mut actions);
+            pool.acquire(at(now - 100), early, suspect(7), &mut actions);
             expect_that!(self::granted(&mut pool, at(now - 100)), is_empty());
             pool.release(at(now - 100), early, End::Left);
         }
     }
 }
 
-/// What ran beside a killer is served on at once, though no gateway knows of it yet.
+/// A request that ran beside a killer is granted again immediately, although no gateway has
+/// identified the killer yet.
 #[gtest]
 fn release_crashed_neighbours() {
     let mut pool = pool(2);
     let mut actions = Vec::new();
-    let neighbour = Ask {
+    let neighbour = Requirements {
         request: OTHER,
         avoid: vec!["e1".into()],
-        ..ask(Class::Online, 5_000)
+        ..needs(Class::Online, 5_000)
     };
-    let killer = Ask {
+    let killer = Requirements {
         avoid: vec!["e1".into()],
         ..suspect(1)
     };
-    pool.ask(at(0), key(0), killer, &mut actions);
-    pool.ask(at(0), key(1), neighbour.clone(), &mut actions);
+    pool.acquire(at(0), key(0), killer, &mut actions);
+    pool.acquire(at(0), key(1), neighbour.clone(), &mut actions);
     expect_that!(granted(&mut pool, at(0)), len(eq(2)));
     pool.release(at(50), key(0), End::Crashed);
     pool.release(at(50), key(1), End::Crashed);
-    let again = Ask {
+    let again = Requirements {
         avoid: vec!["e0".into()],
         ..neighbour
     };
-    pool.ask(at(50), key(2), again, &mut actions);
+    pool.acquire(at(50), key(2), again, &mut actions);
     expect_that!(granted(&mut pool, at(50)), len(eq(1)));
 }
--- a/tests/support/pool.rs
+++ b/tests/support/pool.rs
@@ -1,4 +1,4 @@
-//! A pool and its endpoints as tests need them.
+//! A pool and its endpoints for tests.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -6,14 +6,14 @@
 
 use auburnspoke::catalog::Endpoint;
 use auburnspoke::clock::Time;
-use auburnspoke::pool::message::{Ask, Class};
+use auburnspoke::pool::message::{Class, Requirements};
 use auburnspoke::pool::{Key, Pool};
 use auburnspoke::quarantine::Fingerprint;
 
 /// Slots of each endpoint.
 pub const SLOTS: u32 = 8;
 
-/// An endpoint; every third one is in the same zone.
+/// Returns an endpoint; endpoints are spread over three zones in turn.
 pub fn endpoint(at: usize) -> Arc<Endpoint> {
     Arc::new(Endpoint {
         id: format!("e{at}").into(),
@@ -26,19 +26,19 @@
     })
 }
 
-/// The key of a request of the one gateway.
+/// Returns the key of a request of the only gateway.
 pub fn key(seq: u64) -> Key {
     let gateway = SocketAddr::from(([127, 0, 0, 1], 7));
     Key { gateway, seq }
 }
 
-/// What a request of the zone `a` asks that waits for 230 ms.
-pub fn ask(class: Class, due_ms: u64) -> Ask {
-    Ask {
+/// Returns the requirements of a request from zone `a` that waits for at most 230 ms.
+pub fn needs(class: Class, due_ms: u64) -> Requirements {
+    Requirements {
         class,
         priority: 0,
         zone: "a".into(),
-        patience: Duration::from_millis(230),
+        max_wait: Duration::from_millis(230),
         due: Duration::from_millis(due_ms),
         prefix: 0,
         organisation: 0,
@@ -48,7 +48,7 @@
     }
 }
 
-/// A pool with so many endpoints.
+/// Returns a pool with the given number of endpoints.
 pub fn pool(endpoints: usize) -> Pool {
     let mut pool = Pool::default();
     let all: Vec<_> = (0..endpoints).map(endpoint).collect();
@@ -56,7 +56,7 @@
     pool
 }
 
-/// A time of the test, in milliseconds.
+/// Returns the time `millis` after the start of the test.
 pub fn at(millis: u64) -> Time {
     Time::from_millis(10_000 + millis)
 }
--- a/tests/wire_traffic.rs
+++ b/tests/wire_traffic.rs
@@ -1,7 +1,7 @@
-//! Broken frames on the connections between nodes.
+//! Invalid frames on the connections between nodes.
 
 use auburnspoke::wire::traffic::Frame;
-use auburnspoke::wire::{self, MAX_FRAME, VERSION};
+use auburnspoke::wire::{self, MAX_FRAME_BYTES, VERSION};
 use futures_util::{SinkExt as _, StreamExt as _};
 use googletest::prelude::*;
 use serde_json::json;
@@ -15,8 +15,8 @@
     wire::encode(&Frame::Hello { version, node }).unwrap()
 }
 
-/// Connects to a node's link, sends the messages, and tells whether the node
-/// closed the connection (a greeting of its own may come before).
+/// Connects to a node's link, sends the messages, and returns whether the node closed the
+/// connection. The node may send its own handshake before.
 fn is_closed_after(link: &str, messages: Vec<Vec<u8>>) -> bool {
     actix_rt::System::new().block_on(async {
         let stream = tokio::net::TcpStream::connect(link).await.unwrap();
@@ -24,7 +24,7 @@
         let connected = tokio_tungstenite::client_async(url, stream).await;
         let (mut socket, _) = connected.unwrap();
         for message in messages {
-            // The node may have closed it before the last message.
+            // The node may have closed the connection before the last message.
             let _ = socket.send(Message::Binary(message.into())).await;
         }
         let closing = async {
@@ -34,13 +34,14 @@
                 }
             }
         };
-        tokio::time::timeout(env::PATIENCE, closing).await.is_ok()
+        tokio::time::timeout(env::CONDITION_TIMEOUT, closing)
+            .await
+            .is_ok()
     })
 }
 
-/// A node of another version, a foreign program or a broken one connects to a
-/// node's link and sends what is no frame. The node closes that connection, and
-/// a question through the same node is answered as before.
+/// A node of another version, a foreign or a faulty program connects to a node's link and sends
+/// invalid frames. The node must close that connection and still answer a question.
 #[gtest]
 fn link_broken_frames() {
     let mut fleet = env::Fleet::new();
@@ -62,13 +63,16 @@
     let broken = [
         ("another version", vec![hello(VERSION + 1)]),
         (
-            "no greeting",
+            "no handshake",
             vec![wire::encode(&Frame::Cancel { id: 7 }).unwrap()],
         ),
         ("truncated", vec![hello(VERSION), truncated]),
         ("trailing bytes", vec![hello(VERSION), trailing]),
         ("unknown kind", vec![hello(VERSION), unknown]),
-        ("too long", vec![hello(VERSION), vec![0; MAX_FRAME + 1]]),
+        (
+            "too long",
+            vec![hello(VERSION), vec![0; MAX_FRAME_BYTES + 1]],
+        ),
         ("out of turn", vec![hello(VERSION), answer]),
     ];
     for (what, messages) in broken {
