--- a/standin/src/engine.rs
+++ b/standin/src/engine.rs
@@ -8,7 +8,7 @@
 use eyre::{Result, WrapErr as _};
 use tokio::sync::watch;
 
-/// The subcommand's arguments.
+/// Returns the definition of the `engine` subcommand.
 pub fn command() -> Command {
     Command::new("engine")
         .about("Serves a model engine that batches continuously")
@@ -53,12 +53,12 @@
 /// Runs the engine until the process ends.
 ///
 /// # Errors
-/// When an argument can't be read or the port is taken.
+/// Fails if an argument is invalid or the port is in use.
 pub fn run(arguments: &ArgMatches) -> Result<()> {
     let parameters: Parameters = serde_json::from_str(text(arguments, "parameters"))
-        .wrap_err("--parameters can't be read; see docs/design/engine.md")?;
+        .wrap_err("--parameters is not valid; see docs/design/engine.md")?;
     let fault: Fault = serde_json::from_str(text(arguments, "fault"))
-        .wrap_err("--fault can't be read; see docs/design/engine.md")?;
+        .wrap_err("--fault is not valid; see docs/design/engine.md")?;
     let faster = arguments.get_one::<f64>("faster").copied().unwrap_or(1.0);
     let setting = Setting {
         name: text(arguments, "name").into(),
@@ -69,20 +69,21 @@
         exit_on_crash: true,
     };
     let listener = listen(text(arguments, "listen"))?;
-    let (_keep, stop) = watch::channel(false);
+    let (_sender, stop) = watch::channel(false);
     actix_rt::System::new().block_on(engine::serve(listener, stop, setting))?;
     Ok(())
 }
 
-/// Opens the address and prints it, for whoever started the process.
+/// Binds the address and prints it, so that the parent process can read which port was chosen.
 ///
 /// # Errors
-/// When the address can't be read or is taken.
+/// Fails if the address is invalid or in use.
 pub fn listen(address: &str) -> Result<std::net::TcpListener> {
     let address: SocketAddr = address
         .parse()
-        .wrap_err("--listen wants ip:port, such as 127.0.0.1:0")?;
-    let listener = http::listen(address).wrap_err_with(|| format!("can't listen on {address}"))?;
+        .wrap_err("--listen is not an address; write ip:port, such as 127.0.0.1:0")?;
+    let listener =
+        http::listen(address).wrap_err_with(|| format!("could not listen on {address}"))?;
     println!("listening {}", listener.local_addr()?);
     Ok(listener)
 }
--- a/standin/src/lib.rs
+++ b/standin/src/lib.rs
@@ -1,5 +1,5 @@
-//! The policy benchmark, the stand-ins for the users' platform and the fault
-//! soak, which tests and the `standin` program share.
+//! The policy benchmark, the stand-ins for the users' platform, and the fault soak. Tests and the
+//! `standin` program share them.
 
 pub mod policy;
 pub mod site;
--- a/standin/src/main.rs
+++ b/standin/src/main.rs
@@ -1,4 +1,5 @@
-//! The stand-ins for the platform and the endpoints.
+//! The `standin` program: stand-ins for the platform and the endpoints, benchmarks, and the fault
+//! soak.
 
 use std::process::ExitCode;
 
--- a/standin/src/members.rs
+++ b/standin/src/members.rs
@@ -1,7 +1,7 @@
-//! `standin members`: many members on real sockets of loopback, in a few
-//! threads of one process, measured.
+//! `standin members`: measures membership with many members in a few threads of one process, over
+//! real loopback sockets.
 //!
-//! docs/design/members.md shows its figures. It prints one JSON object a run.
+//! It prints one JSON object for each run. docs/design/members.md lists the figures.
 
 use std::fs;
 use std::net::{SocketAddr, UdpSocket};
@@ -21,16 +21,16 @@
 use tokio::sync::oneshot;
 use tokio::time::sleep;
 
-/// Threads that share the members.
+/// Number of threads that share the members.
 const THREADS: usize = 4;
-/// Bytes of the headers below each datagram.
-const HEADERS: u64 = 28;
-/// Clock ticks a second in the kernel's figures about a process.
-const TICKS: f64 = 100.0;
-/// How long anything may take before the run is given up.
-const PATIENCE: Duration = Duration::from_secs(180);
+/// Size of the IP and UDP headers of a datagram.
+const HEADER_BYTES: u64 = 28;
+/// Clock ticks per second, in which the kernel counts processor time.
+const TICKS_PER_SECOND: f64 = 100.0;
+/// Time after which a run fails if the members have not converged.
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(180);
 
-/// The subcommand's arguments.
+/// Returns the definition of the `members` subcommand.
 pub fn command() -> Command {
     Command::new("members")
         .about("Measures membership with many members on loopback")
@@ -47,10 +47,10 @@
         .help(help)
 }
 
-/// Measures and prints.
+/// Runs the measurements and prints a report for each run.
 ///
 /// # Errors
-/// When sockets can't be had or the members don't come to agree.
+/// Fails if a socket cannot be bound or the members do not converge.
 pub fn run(arguments: &ArgMatches) -> Result<()> {
     let get = |name| arguments.get_one::<usize>(name).copied().unwrap_or(1);
     let count = get("count");
@@ -63,39 +63,39 @@
     Ok(())
 }
 
-/// What one run found; bytes are those of both directions with the headers
-/// below, for each member.
+/// The figures of one run. Bytes are counted for each member in both directions, with the IP and
+/// UDP headers.
 #[derive(Debug, Default, Serialize)]
 struct Report {
     run: usize,
     count: usize,
-    /// From the first start until all agree.
+    /// From the first start until all members list all others as alive.
     form_ms: u64,
-    /// Mean and highest of all members while nothing happens.
+    /// Mean and maximum over all members without any change.
     quiet_bytes_s: f64,
     quiet_bytes_s_max: f64,
     quiet_cpu_percent: f64,
     quiet_suspicions: u64,
-    /// From one node having a version in force until all have heard of it.
+    /// From the moment at which one node applies a version until all have received it.
     version_heard_ms: u64,
-    /// From all nodes having a version in force until all know that.
+    /// From the same moment until all members list that version for every member.
     version_known_ms: u64,
-    /// What that change cost each member within the quiet time's length.
+    /// Traffic of each member for that change, over the length of the quiet measurement.
     version_bytes: f64,
     version_bytes_s_max: f64,
     version_cpu_percent: f64,
-    /// From a member's sudden end until the first and until all others know.
+    /// From the abrupt stop of a member until the first and until all others have detected it.
     death_first_ms: u64,
     death_all_ms: u64,
     wrong_deaths: u64,
-    /// Growth of the process divided by the members.
+    /// Growth of the process's resident memory for each member.
     rss_kib: f64,
 }
 
-/// The platform's list, which says nothing: seeds must do.
-struct Nothing;
+/// An empty list of VMs, so that the members join by their seeds only.
+struct EmptyRoster;
 
-impl Roster for Nothing {
+impl Roster for EmptyRoster {
     async fn list(&self) -> std::result::Result<Vec<Vm>, Fault> {
         Ok(Vec::new())
     }
@@ -117,16 +117,16 @@
 async fn measure(run: usize, count: usize, quiet: Duration) -> Result<Report> {
     let before = rss_kib()?;
     let arbiters: Vec<Arbiter> = (0..=THREADS).map(|_| Arbiter::new()).collect();
-    let begun = Instant::now();
-    let nodes = begin(&arbiters, count).await?;
-    until(|| nodes.iter().all(|node| alive(node) == count)).await?;
+    let began = Instant::now();
+    let nodes = start_all(&arbiters, count).await?;
+    wait_until(|| nodes.iter().all(|node| count_alive(node) == count)).await?;
     let mut report = Report {
         run,
         count,
-        form_ms: millis(begun),
+        form_ms: millis(began),
         ..Report::default()
     };
-    settle(&nodes).await;
+    wait_for_quiet(&nodes).await;
     report.rss_kib = (rss_kib()? - before) / count as f64;
     measure_quiet(&nodes, quiet, &mut report).await?;
     measure_version(&nodes, quiet, &mut report).await?;
@@ -138,11 +138,12 @@
     Ok(report)
 }
 
-/// Starts the members; the last one has a thread of its own.
-async fn begin(arbiters: &[Arbiter], count: usize) -> Result<Vec<Node>> {
+/// Starts the members. The last one has its own thread, so that it can be stopped alone.
+async fn start_all(arbiters: &[Arbiter], count: usize) -> Result<Vec<Node>> {
     let mut sockets = Vec::new();
     for _ in 0..count {
-        let socket = UdpSocket::bind("127.0.0.1:0").wrap_err("no socket to be had")?;
+        let socket =
+            UdpSocket::bind("127.0.0.1:0").wrap_err("could not bind a UDP socket on loopback")?;
         socket.set_nonblocking(true)?;
         sockets.push(socket);
     }
@@ -156,12 +157,12 @@
         } else {
             at % THREADS
         };
-        nodes.push(begin_one(&arbiters[thread], at, socket, seeds.clone(), clock).await?);
+        nodes.push(start_one(&arbiters[thread], at, socket, seeds.clone(), clock).await?);
     }
     Ok(nodes)
 }
 
-async fn begin_one(
+async fn start_one(
     arbiter: &Arbiter,
     at: usize,
     socket: UdpSocket,
@@ -184,7 +185,7 @@
         let Ok(socket) = tokio::net::UdpSocket::from_std(socket) else {
             return;
         };
-        let (handle, mut events) = start(setup, socket, Nothing);
+        let (handle, mut events) = start(setup, socket, EmptyRoster);
         let _ = answer.send(handle);
         while events.recv().await.is_some() {}
     });
@@ -215,12 +216,12 @@
     let each: Vec<u64> = nodes.iter().map(|node| bytes(&node.counts)).collect();
     sleep(quiet).await;
     let end = usage(nodes)?;
-    let passed = end.at.duration_since(start.at).as_secs_f64();
+    let elapsed = end.at.duration_since(start.at).as_secs_f64();
     let members = nodes.len() as f64;
-    report.quiet_bytes_s = (end.bytes - start.bytes) as f64 / passed / members;
-    report.quiet_cpu_percent = (end.cpu - start.cpu) / passed / members * 100.0;
+    report.quiet_bytes_s = (end.bytes - start.bytes) as f64 / elapsed / members;
+    report.quiet_cpu_percent = (end.cpu - start.cpu) / elapsed / members * 100.0;
     report.quiet_suspicions = sum(nodes, |counts| counts.suspected.get()) - suspected;
-    report.quiet_bytes_s_max = highest(nodes, &each) / passed;
+    report.quiet_bytes_s_max = max_growth(nodes, &each) / elapsed;
     Ok(())
 }
 
@@ -229,73 +230,73 @@
     let each: Vec<u64> = nodes.iter().map(|node| bytes(&node.counts)).collect();
     nodes[0].handle.committed(1);
     nodes[0].handle.in_force(1);
-    let begun = Instant::now();
-    // Every node takes it into force as soon as it hears of it, so that the
-    // news and the answers to it overlap as they do in a fleet.
-    let mut heard = vec![false; nodes.len()];
-    heard[0] = true;
+    let began = Instant::now();
+    // Every node applies the version as soon as it receives it, so that the announcement and the
+    // confirmations overlap as they do in production.
+    let mut applied = vec![false; nodes.len()];
+    applied[0] = true;
     let first = nodes[0].view.read().members[0].name.clone();
-    until(|| {
-        for (node, heard) in nodes.iter().zip(&mut heard) {
+    wait_until(|| {
+        for (node, applied) in nodes.iter().zip(&mut applied) {
             let version = node.view.read().find(&first).map(|m| m.config_version);
-            if !*heard && version == Some(1) {
-                *heard = true;
+            if !*applied && version == Some(1) {
+                *applied = true;
                 node.handle.in_force(1);
             }
         }
-        heard.iter().all(|heard| *heard)
+        applied.iter().all(|applied| *applied)
     })
     .await?;
-    report.version_heard_ms = millis(begun);
-    until(|| {
+    report.version_heard_ms = millis(began);
+    wait_until(|| {
         nodes.iter().all(|node| {
             let view = node.view.read();
             view.members.iter().all(|member| member.config_version == 1)
         })
     })
     .await?;
-    report.version_known_ms = millis(begun);
-    sleep(length.saturating_sub(begun.elapsed())).await;
+    report.version_known_ms = millis(began);
+    sleep(length.saturating_sub(began.elapsed())).await;
     let end = usage(nodes)?;
-    let passed = end.at.duration_since(start.at).as_secs_f64();
+    let elapsed = end.at.duration_since(start.at).as_secs_f64();
     let members = nodes.len() as f64;
     report.version_bytes = (end.bytes - start.bytes) as f64 / members;
-    report.version_bytes_s_max = highest(nodes, &each) / passed;
-    report.version_cpu_percent = (end.cpu - start.cpu) / passed / members * 100.0;
-    settle(nodes).await;
+    report.version_bytes_s_max = max_growth(nodes, &each) / elapsed;
+    report.version_cpu_percent = (end.cpu - start.cpu) / elapsed / members * 100.0;
+    wait_for_quiet(nodes).await;
     Ok(())
 }
 
 async fn measure_death(arbiters: &[Arbiter], nodes: &[Node], report: &mut Report) -> Result<()> {
-    let (victim, others) = nodes
+    let (stopped, others) = nodes
         .split_last()
         .ok_or_else(|| eyre!("there are no members"))?;
     let name = member(nodes.len() - 1, SocketAddr::from(([127, 0, 0, 1], 1))).name;
     let died = sum(nodes, |counts| counts.died.get());
     arbiters[THREADS].stop();
-    let begun = Instant::now();
-    drop(victim.view.load());
+    let began = Instant::now();
+    drop(stopped.view.load());
     let dead = |node: &Node| node.view.read().find(&name).map(|m| m.state) == Some(State::Dead);
-    until(|| others.iter().any(dead)).await?;
-    report.death_first_ms = millis(begun);
-    until(|| others.iter().all(dead)).await?;
-    report.death_all_ms = millis(begun);
+    wait_until(|| others.iter().any(dead)).await?;
+    report.death_first_ms = millis(began);
+    wait_until(|| others.iter().all(dead)).await?;
+    report.death_all_ms = millis(began);
     let now = sum(nodes, |counts| counts.died.get());
     report.wrong_deaths = (now - died).saturating_sub(others.len() as u64);
     Ok(())
 }
 
-fn alive(node: &Node) -> usize {
+fn count_alive(node: &Node) -> usize {
     let view = node.view.read();
     let states = view.members.iter().map(|member| member.state);
     states.filter(|state| *state == State::Alive).count()
 }
 
-/// Waits until news has died down.
-async fn settle(nodes: &[Node]) {
-    let begun = Instant::now();
+/// Waits until gossip has subsided: less than 1,500 bytes a second for each member.
+async fn wait_for_quiet(nodes: &[Node]) {
+    let began = Instant::now();
     let mut last = sum(nodes, bytes);
-    while begun.elapsed() < PATIENCE {
+    while began.elapsed() < CONVERGENCE_TIMEOUT {
         sleep(Duration::from_secs(3)).await;
         let now = sum(nodes, bytes);
         let each = (now - last) as f64 / nodes.len() as f64 / 3.0;
@@ -306,15 +307,15 @@
     }
 }
 
-async fn until<F>(mut done: F) -> Result<()>
+async fn wait_until<F>(mut done: F) -> Result<()>
 where
     F: FnMut() -> bool,
 {
-    let begun = Instant::now();
+    let began = Instant::now();
     while !done() {
         ensure!(
-            begun.elapsed() < PATIENCE,
-            "the members did not come to agree"
+            began.elapsed() < CONVERGENCE_TIMEOUT,
+            "the members did not converge in time"
         );
         sleep(Duration::from_millis(20)).await;
     }
@@ -334,10 +335,10 @@
 
 fn bytes(counts: &Counts) -> u64 {
     let datagrams = counts.sent.get() + counts.received.get();
-    counts.sent_bytes.get() + counts.received_bytes.get() + datagrams * HEADERS
+    counts.sent_bytes.get() + counts.received_bytes.get() + datagrams * HEADER_BYTES
 }
 
-fn highest(nodes: &[Node], before: &[u64]) -> f64 {
+fn max_growth(nodes: &[Node], before: &[u64]) -> f64 {
     let grown = nodes
         .iter()
         .zip(before)
@@ -353,7 +354,7 @@
     })
 }
 
-/// Processor time of this process so far, in seconds.
+/// Returns the processor time that this process has used, in user and kernel mode.
 fn cpu_seconds() -> Result<f64> {
     let text = fs::read_to_string("/proc/self/stat")?;
     let after = text.rsplit(')').next().unwrap_or_default();
@@ -363,15 +364,15 @@
         .take(2)
         .filter_map(|field| field.parse().ok())
         .collect();
-    Ok(fields.iter().sum::<f64>() / TICKS)
+    Ok(fields.iter().sum::<f64>() / TICKS_PER_SECOND)
 }
 
-/// Memory of this process that is in use, in KiB.
+/// Returns the resident memory of this process.
 fn rss_kib() -> Result<f64> {
     let text = fs::read_to_string("/proc/self/status")?;
     let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let value = line.and_then(|line| line.split_whitespace().next());
     value
         .and_then(|value| value.parse().ok())
-        .ok_or_else(|| eyre!("the kernel does not tell this process's memory"))
+        .ok_or_else(|| eyre!("/proc/self/status has no readable VmRSS line"))
 }
--- a/standin/src/overhead.rs
+++ b/standin/src/overhead.rs
@@ -1,8 +1,8 @@
-//! `standin overhead`: what the way through a node adds to a question.
+//! `standin overhead`: measures what a node adds to the latency and processor time of a request.
 //!
-//! Questions go to the engine directly and through the node in turns, so that
-//! whatever else the machine does meets both alike. The processor time of the
-//! node is read from the operating system before and after.
+//! Requests go to the engine directly and through the node in turns, so that other load on the
+//! machine affects both equally. The processor time of the node is read from the operating system
+//! before and after.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -18,14 +18,14 @@
 use hdrhistogram::Histogram;
 use serde_json::json;
 
-/// Longest wait for one answer.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// Questions that warm up both ways and are not counted.
-const WARM_UP: u32 = 50;
-/// Clock ticks a second, in which Linux counts processor time.
-const TICKS: u64 = 100;
+/// Longest wait for one response.
+const TIMEOUT: Duration = Duration::from_secs(30);
+/// Number of requests on each path that warm it up and are not measured.
+const WARM_UP_REQUESTS: u32 = 50;
+/// Clock ticks per second, in which Linux counts processor time.
+const TICKS_PER_SECOND: u64 = 100;
 
-/// The subcommand's arguments.
+/// Returns the definition of the `overhead` subcommand.
 pub fn command() -> Command {
     let number = |name: &'static str, default: &'static str, help: &'static str| {
         Arg::new(name)
@@ -73,10 +73,10 @@
         ))
 }
 
-/// Measures and prints one JSON object a line.
+/// Runs both measurements and prints one JSON object for each.
 ///
 /// # Errors
-/// When an address can't be reached or a question is refused.
+/// Fails if an address cannot be reached or a request is refused.
 pub fn run(arguments: &ArgMatches) -> Result<()> {
     let setting = Setting::read(arguments)?;
     actix_rt::System::new().block_on(async move {
@@ -102,16 +102,19 @@
         let text = |name| arguments.get_one::<String>(name).cloned();
         let pids = arguments.get_many::<u32>("pid").unwrap_or_default();
         Ok(Self {
-            node: address("node").ok_or_eyre("name a node")?,
+            node: address("node").ok_or_eyre("--node is missing; write the node's address")?,
             engine: Target {
                 name: "engine".into(),
                 address: address("engine")
-                    .ok_or_eyre("name an engine")?
+                    .ok_or_eyre("--engine is missing; write the engine's address")?
                     .to_string()
                     .into(),
-                model: text("model").ok_or_eyre("name a model")?.into(),
+                model: text("model")
+                    .ok_or_eyre("--model is missing; write the model's name")?
+                    .into(),
             },
-            service: text("service").ok_or_eyre("name a service")?,
+            service: text("service")
+                .ok_or_eyre("--service is missing; write the service's name")?,
             pids: pids.copied().collect(),
             questions: number("questions"),
             tokens: number("tokens"),
@@ -130,12 +133,12 @@
             resume_from: 0,
             resume_text: "",
         };
-        completion::run(client, &self.engine, &prompt, PATIENCE, |_| async {})
+        completion::run(client, &self.engine, &prompt, TIMEOUT, |_| async {})
             .await
             .map_err(|failure| eyre!("the engine failed: {failure}"))
     }
 
-    async fn through(&self, client: &Client, number: u32) -> Result<()> {
+    async fn via_node(&self, client: &Client, number: u32) -> Result<()> {
         let request = v1::AskRequest {
             service: self.service.clone(),
             prompt: format!("through {number}"),
@@ -146,44 +149,44 @@
         Ok(())
     }
 
-    fn processor(&self) -> Result<Duration> {
-        let each = self.pids.iter().map(|pid| processor(*pid));
+    fn cpu_time(&self) -> Result<Duration> {
+        let each = self.pids.iter().map(|pid| cpu_time(*pid));
         each.sum()
     }
 }
 
 fn clients(setting: &Setting) -> (awc::Client, Client) {
     let timeouts = Timeouts {
-        connect: PATIENCE,
-        answer: PATIENCE,
+        connect: TIMEOUT,
+        answer: TIMEOUT,
     };
     let node = Client::new(vec![setting.node], timeouts);
-    (http::client(PATIENCE), node)
+    (http::client(TIMEOUT), node)
 }
 
-/// Questions one after the other, in turns.
+/// Measures latency: one request at a time, directly and through the node in turns.
 async fn latency(setting: &Setting) -> Result<()> {
     let (engine, node) = clients(setting);
     let clock = Clock::start();
     let mut direct = Histogram::<u64>::new(3)?;
-    let mut through = Histogram::<u64>::new(3)?;
-    for number in 0..WARM_UP {
+    let mut via_node = Histogram::<u64>::new(3)?;
+    for number in 0..WARM_UP_REQUESTS {
         setting.direct(&engine, number).await?;
-        setting.through(&node, number).await?;
+        setting.via_node(&node, number).await?;
     }
-    let before = setting.processor()?;
+    let before = setting.cpu_time()?;
     for number in 0..setting.questions {
         let start = clock.now();
         setting.direct(&engine, number).await?;
         let middle = clock.now();
-        setting.through(&node, number).await?;
+        setting.via_node(&node, number).await?;
         direct.record(middle.since(start).as_micros().try_into()?)?;
-        through.record(clock.now().since(middle).as_micros().try_into()?)?;
+        via_node.record(clock.now().since(middle).as_micros().try_into()?)?;
     }
-    let used = setting.processor()?.saturating_sub(before);
-    let at = |of: &Histogram<u64>, quantile| of.value_at_quantile(quantile);
-    let (p50, p99) = (at(&direct, 0.5), at(&direct, 0.99));
-    let (node_p50, node_p99) = (at(&through, 0.5), at(&through, 0.99));
+    let used = setting.cpu_time()?.saturating_sub(before);
+    let quantile_of = |histogram: &Histogram<u64>, quantile| histogram.value_at_quantile(quantile);
+    let (p50, p99) = (quantile_of(&direct, 0.5), quantile_of(&direct, 0.99));
+    let (node_p50, node_p99) = (quantile_of(&via_node, 0.5), quantile_of(&via_node, 0.99));
     let line = json!({
         "part": "latency", "questions": setting.questions, "tokens": setting.tokens,
         "direct_p50_us": p50, "direct_p99_us": p99,
@@ -195,7 +198,7 @@
     Ok(())
 }
 
-/// Many questions at a time: what one node carries.
+/// Measures throughput: many requests at a time, first directly and then through the node.
 async fn rate(setting: &Setting) -> Result<()> {
     let (engine, node) = clients(setting);
     let each = setting.questions / setting.at_once.max(1);
@@ -211,43 +214,52 @@
     });
     join_all(direct).await.into_iter().collect::<Result<()>>()?;
     let direct = start.elapsed();
-    let before = setting.processor()?;
+    let before = setting.cpu_time()?;
     let start = Instant::now();
-    let through = (0..setting.at_once).map(|lane| {
+    let via_node = (0..setting.at_once).map(|lane| {
         let node = &node;
         async move {
             let mut refused = 0;
             for number in 0..each {
-                let asked = setting.through(node, lane * each + number).await;
-                refused += u32::from(asked.is_err());
+                let answer = setting.via_node(node, lane * each + number).await;
+                refused += u32::from(answer.is_err());
             }
             refused
         }
     });
-    let refused: u32 = join_all(through).await.into_iter().sum();
-    let through = start.elapsed();
-    let used = setting.processor()?.saturating_sub(before);
-    let asked = each * setting.at_once;
-    let answered = f64::from(asked - refused);
+    let refused: u32 = join_all(via_node).await.into_iter().sum();
+    let via_node = start.elapsed();
+    let used = setting.cpu_time()?.saturating_sub(before);
+    let sent = each * setting.at_once;
+    let answered = f64::from(sent - refused);
     let line = json!({
-        "part": "rate", "questions": asked, "refused": refused, "at_once": setting.at_once,
-        "direct_per_s": f64::from(asked) / direct.as_secs_f64(),
-        "node_per_s": answered / through.as_secs_f64(),
-        "node_tokens_per_s": answered * f64::from(setting.tokens) / through.as_secs_f64(),
-        "node_cpu_us": used.as_micros() as f64 / f64::from(asked),
+        "part": "rate", "questions": sent, "refused": refused, "at_once": setting.at_once,
+        "direct_per_s": f64::from(sent) / direct.as_secs_f64(),
+        "node_per_s": answered / via_node.as_secs_f64(),
+        "node_tokens_per_s": answered * f64::from(setting.tokens) / via_node.as_secs_f64(),
+        "node_cpu_us": used.as_micros() as f64 / f64::from(sent),
     });
     println!("{line}");
     Ok(())
 }
 
-/// Processor time that a process has used, in user and kernel mode.
-fn processor(pid: u32) -> Result<Duration> {
+/// Returns the processor time that a process has used, in user and kernel mode.
+fn cpu_time(pid: u32) -> Result<Duration> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"))
-        .wrap_err("can't read the process; does it run?")?;
-    // The fields after the name in parentheses, which may hold spaces.
-    let fields = stat.rsplit_once(')').ok_or_eyre("an odd stat line")?.1;
+        .wrap_err("could not read the process's statistics; check that it runs")?;
+    // Skips the name in parentheses, which may contain spaces.
+    let fields = stat
+        .rsplit_once(')')
+        .ok_or_eyre("the process's stat line has no name in parentheses")?
+        .1;
     let mut fields = fields.split_whitespace().skip(11);
-    let mut next =
-        || -> Result<u64> { Ok(fields.next().ok_or_eyre("a short stat line")?.parse()?) };
-    Ok(Duration::from_millis((next()? + next()?) * 1_000 / TICKS))
+    let mut next = || -> Result<u64> {
+        Ok(fields
+            .next()
+            .ok_or_eyre("the process's stat line has too few fields")?
+            .parse()?)
+    };
+    Ok(Duration::from_millis(
+        (next()? + next()?) * 1_000 / TICKS_PER_SECOND,
+    ))
 }
--- a/standin/src/plain.rs
+++ b/standin/src/plain.rs
@@ -7,7 +7,7 @@
 
 use crate::engine;
 
-/// The subcommand's arguments.
+/// Returns the definition of the `plain` subcommand.
 pub fn command() -> Command {
     Command::new("plain")
         .about("Serves a plain HTTP service that echoes and counts")
@@ -21,11 +21,11 @@
 /// Runs the service until the process ends.
 ///
 /// # Errors
-/// When the address can't be read or is taken.
+/// Fails if the address is invalid or in use.
 pub fn run(arguments: &ArgMatches) -> Result<()> {
     let address = arguments.get_one::<String>("listen");
     let listener = engine::listen(address.map_or("127.0.0.1:0", String::as_str))?;
-    let (_keep, stop) = watch::channel(false);
+    let (_sender, stop) = watch::channel(false);
     actix_rt::System::new().block_on(plain::serve(listener, stop))?;
     Ok(())
 }
--- a/standin/src/platform.rs
+++ b/standin/src/platform.rs
@@ -1,4 +1,4 @@
-//! `standin platform`: the platform as a process of its own.
+//! `standin platform`: the stand-in platform as a process.
 
 use std::net::SocketAddr;
 
@@ -10,7 +10,7 @@
 use eyre::{OptionExt as _, Result, WrapErr as _};
 use tokio::sync::watch;
 
-/// The arguments of `standin platform`.
+/// Returns the definition of the `platform` subcommand.
 pub fn command() -> Command {
     Command::new("platform")
         .about("Table, object store, list of VMs and weight store, with faults on command")
@@ -50,7 +50,7 @@
         .help(help)
 }
 
-/// Runs until the process is killed.
+/// Runs the platform until the process is killed.
 pub fn run(arguments: &ArgMatches) -> Result<()> {
     let read = |name: &str| -> Result<u32> {
         arguments
@@ -58,7 +58,9 @@
             .copied()
             .ok_or_eyre("an argument is missing")
     };
-    let address: SocketAddr = *arguments.get_one("listen").ok_or_eyre("no address")?;
+    let address: SocketAddr = *arguments
+        .get_one("listen")
+        .ok_or_eyre("--listen is missing; write ip:port, such as 127.0.0.1:0")?;
     let platform = Platform::new(u64::from(read("seed")?));
     platform.command(&Fault::Limit {
         writes: read("writes")?,
@@ -71,10 +73,11 @@
         per_minute: read("loads")?,
         burst: 4,
     });
-    let listener = http::listen(address).wrap_err_with(|| format!("can't listen on {address}"))?;
+    let listener =
+        http::listen(address).wrap_err_with(|| format!("could not listen on {address}"))?;
     println!("listening {}", listener.local_addr()?);
-    let (_running, stop) = watch::channel(false);
+    let (_sender, stop) = watch::channel(false);
     actix_rt::System::new()
         .block_on(embedded::platform::serve(platform, listener, stop))
-        .wrap_err("the platform's stand-in stopped")
+        .wrap_err("the stand-in platform stopped")
 }
