--- a/src/edge.rs
+++ b/src/edge.rs
@@ -193,7 +193,7 @@
         callers: sockets.callers,
         readiness: sockets.readiness,
         directory: sockets.directory,
-        desk: sockets.desk,
+        broker: sockets.broker,
         stopped,
         notes,
         received,
@@ -313,8 +313,8 @@
             log::error!("{} why=\"{error}\"", event::LISTEN_FAILED);
         }
     });
-    let desk = reader::Reader::new(shared.clock, Client::new(address), TOPICS);
-    actix_rt::spawn(answer(queued, Rc::clone(&learner), desk));
+    let reader = reader::Reader::new(shared.clock, Client::new(address), TOPICS);
+    actix_rt::spawn(answer(queued, Rc::clone(&learner), reader));
     let store = Client::new(address);
     let roster = Rc::new(roster::Registration::new(store, setup.me.vm()));
     let registration = Rc::clone(&roster);
@@ -329,14 +329,14 @@
 async fn answer(
     mut queries: mpsc::Receiver<PendingQuery>,
     learner: Rc<Learner>,
-    desk: Rc<reader::Reader<Client>>,
+    reader: Rc<reader::Reader<Client>>,
 ) {
     while let Some(PendingQuery { query, reply }) = queries.recv().await {
         let answer = match query {
             Query::Changes { table, after } => {
-                let desk = Rc::clone(&desk);
+                let reader = Rc::clone(&reader);
                 actix_rt::spawn(async move {
-                    let changes = desk.answer(&table, after).await;
+                    let changes = reader.answer(&table, after).await;
                     // An error means that the querying node has disconnected.
                     let _ = reply.send(Reply::Changes(changes));
                 });
@@ -360,7 +360,7 @@
     callers: TcpListener,
     readiness: TcpListener,
     directory: TcpListener,
-    desk: UdpSocket,
+    broker: UdpSocket,
     stopped: watch::Receiver<bool>,
     /// Crashes that this node observed, to be gossiped to the others.
     notes: mpsc::Sender<Note>,
@@ -372,8 +372,8 @@
 impl Traffic {
     fn run(self) -> Result<()> {
         let shared = self.shared;
-        let desk = Broker::new(permit::Setup {
-            socket: tokio::net::UdpSocket::from_std(self.desk)?,
+        let broker = Broker::new(permit::Setup {
+            socket: tokio::net::UdpSocket::from_std(self.broker)?,
             pool_port: shared.site.listen.pool.port(),
             boot: shared.boot,
             clock: shared.clock,
@@ -381,8 +381,8 @@
             view: Arc::clone(&shared.view),
             tolerance: shared.site.bounds.tolerance,
         });
-        actix_rt::spawn(Rc::clone(&desk).run());
-        let ward = Detector::new(detector::Setup {
+        actix_rt::spawn(Rc::clone(&broker).run());
+        let detector = Detector::new(detector::Setup {
             me: shared.me.clone(),
             clock: shared.clock,
             store: Client::new(shared.site.store.address),
@@ -393,7 +393,7 @@
         });
         let links = Pool::new(shared.me.clone());
         let verdicts = shared.source(Rc::clone(&links));
-        actix_rt::spawn(Rc::clone(&ward).run(verdicts, self.received));
+        actix_rt::spawn(Rc::clone(&detector).run(verdicts, self.received));
         let jobs = Jobs::new(batch::Setup {
             me: shared.me.clone(),
             zone: shared.site.zone.clone(),
@@ -401,8 +401,8 @@
             store: Client::new(shared.site.store.address),
             row_bytes: shared.site.store.max_row_bytes,
             result_retention: shared.site.bounds.result_retention,
-            broker: Rc::clone(&desk),
-            detector: Rc::clone(&ward),
+            broker: Rc::clone(&broker),
+            detector: Rc::clone(&detector),
             catalog: Arc::clone(&shared.catalog),
             view: Arc::clone(&shared.view),
             phase: Arc::clone(&shared.phase),
@@ -416,9 +416,9 @@
             catalog: shared.catalog,
             view: shared.view,
             phase: shared.phase,
-            desk: Rc::clone(&desk),
+            broker: Rc::clone(&broker),
             count: shared.count,
-            ward,
+            detector,
             jobs: Rc::clone(&jobs),
         });
         actix_rt::spawn(keys::watch(Rc::clone(&node)));
@@ -433,7 +433,7 @@
         let in_flight = shared.in_flight;
         actix_rt::spawn(async move {
             loop {
-                let now = desk.held() + jobs.running();
+                let now = broker.held() + jobs.running();
                 in_flight.store(now, std::sync::atomic::Ordering::Relaxed);
                 sleep(STOP_POLL).await;
             }
--- a/src/edge/directory.rs
+++ b/src/edge/directory.rs
@@ -17,7 +17,7 @@
 pub fn addresses(
     view: &View,
     regions: &BTreeMap<Name, Name>,
-    place: &Location,
+    location: &Location,
     without: Option<&str>,
 ) -> Vec<Name> {
     let mut members: Vec<&Member> = view
@@ -27,8 +27,8 @@
     members.sort_by_key(|member| {
         (
             member.state == State::Suspect,
-            member.zone != place.zone,
-            regions.get(&member.zone) != Some(&place.region),
+            member.zone != location.zone,
+            regions.get(&member.zone) != Some(&location.region),
         )
     });
     let mut seen = BTreeSet::new();
--- a/src/edge/node.rs
+++ b/src/edge/node.rs
@@ -31,11 +31,11 @@
     /// The node's lifecycle phase.
     pub phase: Arc<Cell<Phase>>,
     /// Admission control.
-    pub desk: Rc<Broker>,
+    pub broker: Rc<Broker>,
     /// The metrics.
     pub count: Count,
     /// The quarantine.
-    pub ward: Rc<Detector>,
+    pub detector: Rc<Detector>,
     /// The batch jobs.
     pub jobs: Rc<Jobs>,
 }
--- a/src/edge/relay.rs
+++ b/src/edge/relay.rs
@@ -163,24 +163,24 @@
     }
 
     async fn run(mut self) {
-        let ward = Rc::clone(&self.node.ward);
+        let detector = Rc::clone(&self.node.detector);
         let request = self.call.fingerprint;
         loop {
             let now = self.node.clock.now();
             let left = self.attempt.deadline().since(now);
-            if let Status::Held(wait) = ward.status(request) {
+            if let Status::Held(wait) = detector.status(request) {
                 sleep(wait.min(left)).await;
             }
             let left = self.attempt.deadline().since(self.node.clock.now());
             let want = self.want(now, left);
             let admitted = tokio::select! {
                 biased;
-                () = ward.until_condemned(request) => return self.reject_condemned().await,
+                () = detector.until_condemned(request) => return self.reject_condemned().await,
                 admitted = timeout(left, self.admit(want)) => admitted,
             };
             let permit = match admitted {
                 Ok(Ok(permit)) => permit,
-                Ok(Err(Denied::Place(refusal))) => return self.reject(refusal).await,
+                Ok(Err(Denied::Slot(refusal))) => return self.reject(refusal).await,
                 Ok(Err(Denied::Count(Denial::Over(until_room)))) => {
                     return self.reject_over_limit(until_room);
                 }
@@ -194,13 +194,13 @@
             let began = self.node.clock.now();
             let ended = tokio::select! {
                 biased;
-                () = ward.until_condemned(request) => return self.reject_condemned().await,
+                () = detector.until_condemned(request) => return self.reject_condemned().await,
                 ended = self.exchange(&permit) => ended,
             };
             let (next, why) = match ended {
                 Ended::Complete => {
                     permit.finish(End::Done);
-                    ward.completed(request);
+                    detector.completed(request);
                     return self.log_done(&endpoint);
                 }
                 Ended::Disconnected => return,
@@ -397,7 +397,7 @@
             ran: self.node.clock.now().since(began),
             why,
         };
-        match self.node.ward.investigate(endpoint, run).await {
+        match self.node.detector.investigate(endpoint, run).await {
             Finding::Crashed => End::Crashed,
             Finding::NotCrashed | Finding::Undecided => End::Error,
         }
--- a/src/edge/relay/admit.rs
+++ b/src/edge/relay/admit.rs
@@ -20,7 +20,7 @@
 /// Why a request was not admitted.
 pub(super) enum Denied {
     /// The pool granted no slot.
-    Place(Refusal),
+    Slot(Refusal),
     /// The organisation's rate limit is exceeded or could not be checked.
     Count(Denial),
 }
@@ -30,18 +30,18 @@
     /// run concurrently, except for an organisation that was over its limit a moment ago, which
     /// must pass the limit first.
     pub(super) async fn admit(&mut self, want: Claim) -> Result<Permit, Denied> {
-        let desk = Rc::clone(&self.node.desk);
+        let broker = Rc::clone(&self.node.broker);
         let limited = self.limited().filter(|_| self.token.is_none());
         let Some(limited) = limited else {
-            return desk.acquire(want).await.map_err(Denied::Place);
+            return broker.acquire(want).await.map_err(Denied::Slot);
         };
-        if desk.was_over_limit(&limited) {
-            self.token = Some(desk.count(limited).await.map_err(Denied::Count)?);
-            return desk.acquire(want).await.map_err(Denied::Place);
+        if broker.was_over_limit(&limited) {
+            self.token = Some(broker.count(limited).await.map_err(Denied::Count)?);
+            return broker.acquire(want).await.map_err(Denied::Slot);
         }
-        let count = desk.count(limited).map_err(Denied::Count);
-        let place = desk.acquire(want).map_err(Denied::Place);
-        let (token, permit) = try_join(count, place).await?;
+        let count = broker.count(limited).map_err(Denied::Count);
+        let permit = broker.acquire(want).map_err(Denied::Slot);
+        let (token, permit) = try_join(count, permit).await?;
         self.token = Some(token);
         Ok(permit)
     }
@@ -90,7 +90,7 @@
     }
 
     fn is_suspect(&self) -> bool {
-        self.node.ward.status(self.call.fingerprint) != Status::Clear
+        self.node.detector.status(self.call.fingerprint) != Status::Clear
     }
 
     /// An organisation's own priority overrides that of its route.
--- a/src/edge/socket.rs
+++ b/src/edge/socket.rs
@@ -14,7 +14,7 @@
     pub link: TcpListener,
     pub control: UdpSocket,
     pub pool: UdpSocket,
-    pub desk: UdpSocket,
+    pub broker: UdpSocket,
 }
 
 impl Sockets {
@@ -27,7 +27,7 @@
             link: tcp(listen.link, "links")?,
             control: udp(listen.control, "control")?,
             pool: udp(listen.pool, "admission")?,
-            desk: udp(listen.broker, "answers about admission")?,
+            broker: udp(listen.broker, "answers about admission")?,
         })
     }
 }
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -115,7 +115,7 @@
     links: Rc<Pool>,
     router: RefCell<Router>,
     limiter: RefCell<Limiter>,
-    gate: RefCell<Admission>,
+    admission: RefCell<Admission>,
     budget: RefCell<Budget>,
     last_attempt: Cell<u64>,
     version: Cell<u64>,
@@ -143,7 +143,7 @@
             links: Pool::new(shared.node.clone()),
             router: RefCell::new(Router::new(shared.zone.clone(), rand::random())),
             limiter: RefCell::new(Limiter::new(1)),
-            gate: RefCell::new(Admission::new(MAX_IN_FLIGHT)),
+            admission: RefCell::new(Admission::new(MAX_IN_FLIGHT)),
             budget: RefCell::default(),
             avoided: RefCell::default(),
             last_attempt: Cell::new(0),
@@ -326,11 +326,11 @@
 
     /// Returns true if the request must not run. Waits for the verdict if one is pending.
     async fn is_condemned(&self, request: Fingerprint) -> bool {
-        let standings = self.shared.quarantine.statuses();
-        while standings.read().is_held(request) {
+        let statuses = self.shared.quarantine.statuses();
+        while statuses.read().is_held(request) {
             actix_rt::time::sleep(VERDICT_POLL_INTERVAL).await;
         }
-        standings.read().is_condemned(request)
+        statuses.read().is_condemned(request)
     }
 
     /// Records a crash that the endpoint's dispatcher, possibly on another node, reported.
--- a/src/gateway/guard.rs
+++ b/src/gateway/guard.rs
@@ -11,7 +11,7 @@
 use crate::request::Request;
 use crate::route::Verdict;
 
-/// A request's slot at the gate and within its organisation's limits.
+/// A request's slot at the admission and within its organisation's limits.
 pub struct Admission<'a> {
     gateway: &'a Gateway,
     organisation: Name,
@@ -21,13 +21,13 @@
     /// Acquires a slot.
     ///
     /// # Errors
-    /// The refusal of the gate or of the organisation's limits; nothing ran.
+    /// The refusal of the admission or of the organisation's limits; nothing ran.
     pub fn enter(gateway: &'a Gateway, request: &Request) -> Result<Self, Refusal> {
         let organisation = request.organisation.clone();
         let now = gateway.shared.clock.now();
         gateway.limiter.borrow_mut().admit(now, &organisation)?;
-        let mut gate = gateway.gate.borrow_mut();
-        if let Err(refusal) = gate.admit(request.class, &organisation) {
+        let mut admission = gateway.admission.borrow_mut();
+        if let Err(refusal) = admission.admit(request.class, &organisation) {
             gateway.limiter.borrow_mut().release(&organisation);
             return Err(refusal);
         }
@@ -40,7 +40,10 @@
 
 impl Drop for Admission<'_> {
     fn drop(&mut self) {
-        self.gateway.gate.borrow_mut().release(&self.organisation);
+        self.gateway
+            .admission
+            .borrow_mut()
+            .release(&self.organisation);
         self.gateway
             .limiter
             .borrow_mut()
--- a/src/node.rs
+++ b/src/node.rs
@@ -163,11 +163,11 @@
             _ = interrupt.recv() => {}
             () = running.drained() => {}
         }
-        let hurry = async move {
+        let force = async move {
             // A second Ctrl-C skips the wait for requests in flight.
             interrupt.recv().await;
         };
-        running.stop(settings.leave.limit, hurry).await;
+        running.stop(settings.leave.limit, force).await;
         Ok(())
     })
 }
@@ -377,17 +377,17 @@
 
     /// Shuts down the node in order; [`Leave`] decides on the phases.
     ///
-    /// Requests still in flight after `limit`, or once `hurry` is ready, are aborted with a
+    /// Requests still in flight after `limit`, or once `force` is ready, are aborted with a
     /// final answer.
-    pub async fn stop<H>(mut self, limit: Duration, hurry: H)
+    pub async fn stop<H>(mut self, limit: Duration, force: H)
     where
         H: Future<Output = ()>,
     {
         let in_flight = self.work().requests;
         log::info!("{} in_flight={in_flight}", event::NODE_LEAVING);
         let mut leave = Leave::new(self.times(limit));
-        let mut hurry = pin!(hurry);
-        let mut hurried = false;
+        let mut force = pin!(force);
+        let mut forced = false;
         let mut inputs = vec![Input::Started, Input::Stop];
         loop {
             let now = self.shared.clock.now();
@@ -402,8 +402,8 @@
             }
             tokio::select! {
                 () = actix_rt::time::sleep(STOP_POLL) => {}
-                () = &mut hurry, if !hurried => {
-                    hurried = true;
+                () = &mut force, if !forced => {
+                    forced = true;
                     inputs.push(Input::ForceStop);
                 }
             }
--- a/src/node/batch.rs
+++ b/src/node/batch.rs
@@ -111,12 +111,12 @@
         }
     }
 
-    /// Copies the tally of a runner, which is not shared between threads, into the counters for
+    /// Copies the statistics of a runner, which are not shared between threads, into the counters for
     /// the lifetime of its thread.
-    pub async fn follow(self, tally: Rc<std::cell::Cell<Stats>>) {
+    pub async fn follow(self, stats: Rc<std::cell::Cell<Stats>>) {
         let mut before = Stats::default();
         loop {
-            let now = tally.get();
+            let now = stats.get();
             self.add(before, now);
             before = now;
             actix_rt::time::sleep(COUNT_INTERVAL).await;
--- a/src/quarantine/detector.rs
+++ b/src/quarantine/detector.rs
@@ -363,7 +363,7 @@
 
     /// Applies an update of the stored verdicts.
     fn apply_update(&self, update: Update) {
-        let (rows, clock, said) = match update {
+        let (rows, clock, clock_read) = match update {
             Update::Snapshot(snapshot) => {
                 self.rows.borrow_mut().clear();
                 let rows = snapshot.rows.into_iter();
@@ -377,7 +377,7 @@
             }
             Update::Failed => return,
         };
-        self.store_clock.set(Some((said, clock)));
+        self.store_clock.set(Some((clock_read, clock)));
         for (key, value) in rows {
             self.apply_row(clock, &key, value.as_deref());
         }
--- a/tests/catalog_book.rs
+++ b/tests/catalog_book.rs
@@ -174,7 +174,7 @@
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut log: Vec<Entry> = Vec::new();
         let mut heard = [0; 3];
-        let mut books = [
+        let mut registries = [
             Registry::default(),
             Registry::default(),
             Registry::default(),
@@ -189,24 +189,24 @@
                 0 => log.push(entry(id, version, true)),
                 1 => log.push(entry(id, version, false)),
                 2 => log.push(removed(id, version)),
-                3 => books[one].store_failed(at(now)),
+                3 => registries[one].store_failed(at(now)),
                 4 => {
-                    books[one].replace(at(now), present(&log), log.len() as u64);
+                    registries[one].replace(at(now), present(&log), log.len() as u64);
                     heard[one] = log.len();
                 }
                 5 => {
                     for entry in log.iter().skip(heard[one]) {
-                        books[one].apply(at(now), entry.clone());
+                        registries[one].apply(at(now), entry.clone());
                     }
                     heard[one] = log.len();
                 }
                 6 => {
-                    for entry in books[(one + 1) % 3].entries() {
-                        books[one].apply(at(now), entry);
+                    for entry in registries[(one + 1) % 3].entries() {
+                        registries[one].apply(at(now), entry);
                     }
                 }
                 _ => {
-                    books[one].expire(at(now));
+                    registries[one].expire(at(now));
                 }
             }
         }
@@ -214,19 +214,19 @@
         let expected: Vec<String> = present(&log).iter().map(|it| it.id.to_string()).collect();
         for one in 0..3 {
             for entry in log.iter().skip(heard[one]) {
-                books[one].apply(at(now), entry.clone());
+                registries[one].apply(at(now), entry.clone());
             }
         }
         now += 2_100;
         for one in 0..3 {
-            books[one].expire(at(now));
-            let told = books[(one + 1) % 3].entries();
-            for entry in told {
-                books[one].apply(at(now), entry);
+            registries[one].expire(at(now));
+            let entries = registries[(one + 1) % 3].entries();
+            for entry in entries {
+                registries[one].apply(at(now), entry);
             }
-            books[one].expire(at(now));
+            registries[one].expire(at(now));
         }
-        for registry in &books {
+        for registry in &registries {
             expect_that!(ids(registry), eq(&expected), "seed {seed}");
         }
     }
--- a/tests/feed_shelf.rs
+++ b/tests/feed_shelf.rs
@@ -48,11 +48,11 @@
     let mut buffer = Buffer::new(10);
     buffer.add(at(0), changes(&[11, 13], 14));
     buffer.add(at(50), changes(&[16], 16));
-    let told = expect_changes(&buffer, 250, 13);
-    expect_that!(told.changes, eq(&vec![change(16)]));
-    expect_that!(told.version, eq(16));
-    expect_that!(told.age, eq(Duration::from_millis(200)));
-    expect_that!(told.clock, eq(7_000));
+    let answer = expect_changes(&buffer, 250, 13);
+    expect_that!(answer.changes, eq(&vec![change(16)]));
+    expect_that!(answer.version, eq(16));
+    expect_that!(answer.age, eq(Duration::from_millis(200)));
+    expect_that!(answer.clock, eq(7_000));
 }
 
 #[gtest]
--- a/tests/identity_key.rs
+++ b/tests/identity_key.rs
@@ -302,8 +302,8 @@
     ] {
         expect_that!(shown, not(contains_substring(KEY)));
     }
-    let told: Keyring = wire::decode(&sent).unwrap();
-    expect_that!(told.find(&secret.digest()), some(anything()));
+    let keyring: Keyring = wire::decode(&sent).unwrap();
+    expect_that!(keyring.find(&secret.digest()), some(anything()));
     let mut map = headers(&[("authorization", KEY)]);
     organisation::remove_credential(&mut map);
     expect_that!(map.is_empty(), eq(true));
