--- a/benches/frame.rs
+++ b/benches/frame.rs
@@ -69,7 +69,7 @@
         boot: 1,
         incarnation: 1,
         in_force: 7,
-        heard: 7,
+        committed: 7,
     };
     let body = Body::Gossip;
     let frame = Frame {
--- a/src/batch/shell.rs
+++ b/src/batch/shell.rs
@@ -1,7 +1,7 @@
 //! The batch jobs of one node: its copy of all jobs, the jobs that it runs, and which item it
 //! starts next.
 
-use std::cell::{Cell as Flag, RefCell};
+use std::cell::{Cell as StdCell, RefCell};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -91,7 +91,7 @@
     pub(super) changed: Notify,
     pub(super) started: Time,
     pub(super) estimator: Estimator,
-    pending: Flag<usize>,
+    pending: StdCell<usize>,
 }
 
 impl Jobs {
@@ -109,7 +109,7 @@
             changed: Notify::new(),
             started,
             estimator: Estimator::default(),
-            pending: Flag::new(0),
+            pending: StdCell::new(0),
         })
     }
 
--- a/src/config/follow.rs
+++ b/src/config/follow.rs
@@ -58,7 +58,7 @@
 pub struct Follower {
     started: Time,
     fetch_delay: Duration,
-    force: InForce,
+    in_force: InForce,
     newest: u64,
     announced: Option<(u64, Time)>,
     /// Latest time at which the table is known to have had `force.document` or an
@@ -86,7 +86,7 @@
         Self {
             started: now,
             fetch_delay: MAX_FETCH_DELAY.mul_f64(part),
-            force: InForce {
+            in_force: InForce {
                 document: Arc::default(),
                 until: Time::ZERO,
             },
@@ -105,8 +105,8 @@
     }
 
     /// Returns the document in force and its expiry.
-    pub const fn force(&self) -> &InForce {
-        &self.force
+    pub const fn in_force(&self) -> &InForce {
+        &self.in_force
     }
 
     /// Returns the newest version known to this node.
@@ -173,7 +173,7 @@
     }
 
     fn version(&self) -> u64 {
-        self.force.document.version
+        self.in_force.document.version
     }
 
     /// Returns the largest fleet size that this node or a peer has reported, so
@@ -265,7 +265,7 @@
         if document.version <= self.version() {
             return;
         }
-        self.force.document = document;
+        self.in_force.document = document;
         self.newest = self.newest.max(self.version());
         self.fetch_at = (self.newest > self.version()).then_some(now);
         if let Some((version, at)) = self.newer.take() {
@@ -358,8 +358,8 @@
         // that is unknown to this one. Once that change must have been accepted
         // or abandoned, evidence that nothing was accepted makes up for it.
         self.witness |= known >= self.started + ANNOUNCEMENT_TTL;
-        if until > self.force.until {
-            self.force.until = until;
+        if until > self.in_force.until {
+            self.in_force.until = until;
             self.publish(actions);
         }
     }
@@ -395,6 +395,6 @@
     }
 
     fn publish(&self, actions: &mut Vec<Action>) {
-        actions.push(Action::Publish(self.force.clone()));
+        actions.push(Action::Publish(self.in_force.clone()));
     }
 }
--- a/src/config/watch.rs
+++ b/src/config/watch.rs
@@ -71,7 +71,7 @@
     peers: P,
     clock: Clock,
     follower: RefCell<Follower>,
-    force: Arc<Cell<InForce>>,
+    in_force: Arc<Cell<InForce>>,
 }
 
 impl<T, P> Clone for Watch<T, P> {
@@ -88,7 +88,7 @@
     P: Peers + 'static,
 {
     /// Creates a watch that publishes to `force`; [`Watch::run`] starts it.
-    pub fn new(node: &str, table: T, peers: P, clock: Clock, force: Arc<Cell<InForce>>) -> Self {
+    pub fn new(node: &str, table: T, peers: P, clock: Clock, in_force: Arc<Cell<InForce>>) -> Self {
         let follower = RefCell::new(Follower::new(clock.now(), node));
         Self {
             inner: Rc::new(Inner {
@@ -96,7 +96,7 @@
                 peers,
                 clock,
                 follower,
-                force,
+                in_force,
             }),
         }
     }
@@ -136,8 +136,8 @@
     }
 
     /// Returns the document in force and its expiry.
-    pub fn force(&self) -> InForce {
-        self.inner.follower.borrow().force().clone()
+    pub fn in_force(&self) -> InForce {
+        self.inner.follower.borrow().in_force().clone()
     }
 
     fn step(&self, input: Input) {
@@ -155,7 +155,7 @@
     fn act(&self, action: Action) {
         let watch = self.clone();
         match action {
-            Action::Publish(force) => self.publish(force),
+            Action::Publish(in_force) => self.publish(in_force),
             Action::Poll => {
                 actix_rt::spawn(async move { watch.poll().await });
             }
@@ -184,16 +184,16 @@
         }
     }
 
-    fn publish(&self, force: InForce) {
-        let before = self.inner.force.read().document.version;
-        let version = force.document.version;
+    fn publish(&self, in_force: InForce) {
+        let before = self.inner.in_force.read().document.version;
+        let version = in_force.document.version;
         if version != before {
             log::info!(
                 "{} version={version} before={before}",
                 event::CONFIG_IN_FORCE
             );
         }
-        self.inner.force.publish(force);
+        self.inner.in_force.publish(in_force);
     }
 
     async fn poll(&self) {
--- a/src/dispatch/estimator.rs
+++ b/src/dispatch/estimator.rs
@@ -32,7 +32,7 @@
     last_step: Time,
     decoding: u32,
     prefilling: bool,
-    fit: Regression,
+    regression: Regression,
     prefill_us: f64,
     online_quantile: f64,
     first_token_us: f64,
@@ -142,23 +142,23 @@
     /// Slow steps are those with a prefill at peak online concurrency. They
     /// determine the tail latency that callers see, with or without batch work.
     pub fn max_sequences(&self, tolerance: f64) -> Option<f64> {
-        if self.fit.n < MIN_STEPS {
+        if self.regression.n < MIN_STEPS {
             return None;
         }
-        let (base, slope) = self.fit.line();
+        let (base, slope) = self.regression.line();
         let slow_step = base + slope * self.online_quantile + self.prefill_us;
         Some(self.online_quantile + tolerance * slow_step / slope)
     }
 
     fn record_step(&mut self, micros: f64) {
         if !self.prefilling {
-            self.fit.add(f64::from(self.decoding), micros);
+            self.regression.add(f64::from(self.decoding), micros);
             return;
         }
-        if self.fit.n < MIN_STEPS {
+        if self.regression.n < MIN_STEPS {
             return;
         }
-        let (base, slope) = self.fit.line();
+        let (base, slope) = self.regression.line();
         let extra = (micros - base - slope * f64::from(self.decoding)).max(0.0);
         self.prefill_us += GAIN * (extra - self.prefill_us);
     }
--- a/src/dispatch/shell.rs
+++ b/src/dispatch/shell.rs
@@ -46,7 +46,7 @@
 /// The dispatchers of one thread.
 pub struct Shell {
     clock: Clock,
-    force: Arc<snapshot::Cell<InForce>>,
+    in_force: Arc<snapshot::Cell<InForce>>,
     work: Work,
     phase: Arc<snapshot::Cell<Phase>>,
     quarantine: quarantine::Handle,
@@ -104,7 +104,7 @@
     pub fn new(shared: &Shared, loads: Arc<snapshot::Cell<Loads>>) -> Rc<Self> {
         Rc::new(Self {
             clock: shared.clock,
-            force: Arc::clone(&shared.force),
+            in_force: Arc::clone(&shared.in_force),
             work: shared.dispatched.clone(),
             phase: Arc::clone(&shared.phase),
             quarantine: shared.quarantine.clone(),
@@ -193,7 +193,7 @@
 
     /// Updates a queue when the configuration of its endpoint has changed.
     fn follow_config(self: &Rc<Self>, name: &Name) {
-        let setting = setting_of(&self.force.read().document, name);
+        let setting = setting_of(&self.in_force.read().document, name);
         let changed = {
             let mut state = self.state.borrow_mut();
             let Some(dispatcher) = state.dispatchers.get_mut(name) else {
@@ -215,15 +215,15 @@
             request,
             reply,
         } = submit;
-        let force = self.force.read();
+        let in_force = self.in_force.read();
         let refused = if **self.phase.read() != Phase::Serving {
             // The gateway has not yet learnt that this node is leaving and that the
             // endpoint has another dispatcher.
             Some(Reason::NotReady)
-        } else if !force.is_valid(now) {
+        } else if !in_force.is_valid(now) {
             // This node's configuration may be superseded, so it must not be acted on.
             Some(Reason::NotReady)
-        } else if !force.document.endpoints.contains_key(&endpoint) {
+        } else if !in_force.document.endpoints.contains_key(&endpoint) {
             // The gateway has a newer or older configuration than this node.
             Some(Reason::NoEndpoint)
         } else {
@@ -246,7 +246,7 @@
         request: Request,
         reply: mpsc::Sender<Event>,
     ) -> Offer {
-        let setting = setting_of(&self.force.read().document, endpoint);
+        let setting = setting_of(&self.in_force.read().document, endpoint);
         let mut state = self.state.borrow_mut();
         state.last_id += 1;
         let id = state.last_id;
@@ -329,7 +329,7 @@
         let progress = Rc::clone(&entry.progress);
         let reply = entry.reply.clone();
         let deadline = entry.deadline;
-        let Some(target) = run::target(&self.force.read().document, endpoint, &request) else {
+        let Some(target) = run::target(&self.in_force.read().document, endpoint, &request) else {
             drop(state);
             // The service was removed from the configuration while the request waited.
             actix_rt::spawn(async move { shell.abandon(&name, id) });
--- a/src/edge/front.rs
+++ b/src/edge/front.rs
@@ -113,7 +113,7 @@
     let (parts, body) = request.into_parts();
     let mut response = match call::decode(&parts) {
         Call::Ready => ready(&node).map(Body::from),
-        Call::Resolve(place) => resolve(&node, &place).map(Body::from),
+        Call::Resolve(location) => resolve(&node, &location).map(Body::from),
         Call::Invalid(status, why) => call::error(status, why).map(Body::from),
         Call::ReadResults { job, after, wait } => match reader(&node, arrived, &parts) {
             Err(refusal) => *refusal,
@@ -217,16 +217,16 @@
 }
 
 /// Answers a directory request with the addresses to connect to.
-fn resolve(node: &Node, place: &Location) -> Response<Bytes> {
+fn resolve(node: &Node, location: &Location) -> Response<Bytes> {
     let own = node.site.listen.callers.to_string();
     // A node that accepts no keys could only redirect callers, so it omits its own address.
     let is_unusable = node.is_leaving() || !node.accepts_keys();
     let without = is_unusable.then_some(&*own);
     let view = node.view.read();
-    let mut addresses = directory::addresses(&view, &node.site.zones, place, without);
+    let mut addresses = directory::addresses(&view, &node.site.zones, location, without);
     if addresses.is_empty() {
         // An address that may soon be usable again is better than an empty answer.
-        addresses = directory::addresses(&view, &node.site.zones, place, None);
+        addresses = directory::addresses(&view, &node.site.zones, location, None);
     }
     call::resolved(&addresses, grace::directory_ttl(&node.site.bounds))
 }
--- a/src/edge/learn.rs
+++ b/src/edge/learn.rs
@@ -468,7 +468,7 @@
     let version = learner.config_version();
     let sent = Uptime::now();
     let query = Query::Known { version };
-    if let Some(Reply::Known(Some(update))) = links.ask(peer, query, PEER_TIMEOUT).await {
+    if let Some(Reply::Known(Some(update))) = links.query(peer, query, PEER_TIMEOUT).await {
         learner.import(sent, *update);
     }
 }
--- a/src/edge/relay.rs
+++ b/src/edge/relay.rs
@@ -172,11 +172,11 @@
                 sleep(wait.min(left)).await;
             }
             let left = self.attempt.deadline().since(self.node.clock.now());
-            let want = self.want(now, left);
+            let claim = self.claim(now, left);
             let admitted = tokio::select! {
                 biased;
                 () = detector.until_condemned(request) => return self.reject_condemned().await,
-                admitted = timeout(left, self.admit(want)) => admitted,
+                admitted = timeout(left, self.admit(claim)) => admitted,
             };
             let permit = match admitted {
                 Ok(Ok(permit)) => permit,
--- a/src/edge/relay/admit.rs
+++ b/src/edge/relay/admit.rs
@@ -29,18 +29,18 @@
     /// Acquires a slot, and counts the request once against its organisation's rate limit. Both
     /// run concurrently, except for an organisation that was over its limit a moment ago, which
     /// must pass the limit first.
-    pub(super) async fn admit(&mut self, want: Claim) -> Result<Permit, Denied> {
+    pub(super) async fn admit(&mut self, claim: Claim) -> Result<Permit, Denied> {
         let broker = Rc::clone(&self.node.broker);
         let limited = self.limited().filter(|_| self.token.is_none());
         let Some(limited) = limited else {
-            return broker.acquire(want).await.map_err(Denied::Slot);
+            return broker.acquire(claim).await.map_err(Denied::Slot);
         };
         if broker.was_over_limit(&limited) {
             self.token = Some(broker.count(limited).await.map_err(Denied::Count)?);
-            return broker.acquire(want).await.map_err(Denied::Slot);
+            return broker.acquire(claim).await.map_err(Denied::Slot);
         }
         let count = broker.count(limited).map_err(Denied::Count);
-        let permit = broker.acquire(want).map_err(Denied::Slot);
+        let permit = broker.acquire(claim).map_err(Denied::Slot);
         let (token, permit) = try_join(count, permit).await?;
         self.token = Some(token);
         Ok(permit)
@@ -62,7 +62,7 @@
         }
     }
 
-    pub(super) fn want(&self, now: Time, left: Duration) -> Claim {
+    pub(super) fn claim(&self, now: Time, left: Duration) -> Claim {
         let goal = self.call.arrived + self.call.route.goal;
         // A stream that has begun must be completed, so it may wait until the deadline. Any
         // other request is rejected with a retry delay once its latency goal can't be met.
--- a/src/feed/source.rs
+++ b/src/feed/source.rs
@@ -22,15 +22,15 @@
 const QUERY_TIMEOUT: Duration = Duration::from_millis(950);
 
 /// Sends queries to other members.
-pub trait Ask {
+pub trait Transport {
     /// Returns the answer of the member whose link listens at `link`; none when there was no
     /// answer within `wait`.
-    async fn ask(&self, link: &Name, query: Query, wait: Duration) -> Option<Reply>;
+    async fn query(&self, link: &Name, query: Query, wait: Duration) -> Option<Reply>;
 }
 
-impl Ask for Rc<Pool> {
-    async fn ask(&self, link: &Name, query: Query, wait: Duration) -> Option<Reply> {
-        Pool::ask(self, link, query, wait).await
+impl Transport for Rc<Pool> {
+    async fn query(&self, link: &Name, query: Query, wait: Duration) -> Option<Reply> {
+        Pool::query(self, link, query, wait).await
     }
 }
 
@@ -59,7 +59,7 @@
 impl<F, A> Source<F, A>
 where
     F: Feed,
-    A: Ask,
+    A: Transport,
 {
     /// Creates a source that falls back on `store`.
     pub fn new(store: F, links: A, setup: Setup) -> Self {
@@ -72,7 +72,7 @@
     }
 
     /// Returns the changes from a reader; none when the store has to be read.
-    async fn ask(&self, table: &str, version: u64) -> Option<Changes> {
+    async fn query(&self, table: &str, version: u64) -> Option<Changes> {
         loop {
             let setup = &self.setup;
             let (name, link) = {
@@ -87,7 +87,7 @@
                 after: version,
             };
             let sent = Uptime::now();
-            let (fault, why) = match self.links.ask(&link, query, QUERY_TIMEOUT).await {
+            let (fault, why) = match self.links.query(&link, query, QUERY_TIMEOUT).await {
                 Some(Reply::Changes(Answer::Changes(mut changes))) => {
                     if is_continuation(version, &changes) {
                         changes.asked = changes.asked_ago.map(|ago| sent - ago);
@@ -131,7 +131,7 @@
 impl<F, A> Feed for Source<F, A>
 where
     F: Feed,
-    A: Ask,
+    A: Transport,
 {
     async fn snapshot(&self, table: &str) -> Result<Snapshot, table::Fault> {
         self.store.snapshot(table).await
@@ -143,7 +143,7 @@
         version: u64,
         wait: Duration,
     ) -> Result<Changes, FeedError> {
-        if let Some(changes) = self.ask(table, version).await {
+        if let Some(changes) = self.query(table, version).await {
             return Ok(changes);
         }
         self.setup.count.feed("store");
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -1,4 +1,4 @@
-//! Routes a question from its caller to the dispatcher of an endpoint, and the answer back.
+//! Routes an online request from its caller to the dispatcher of an endpoint, and the answer back.
 //!
 //! Each traffic thread has one gateway. The gateway performs the I/O and leaves the decisions to
 //! [`crate::limit`], which admits, [`crate::route`], which selects an endpoint, and [`retry`],
@@ -41,8 +41,8 @@
 mod attempt;
 mod guard;
 
-/// Questions in flight per traffic thread. Without the limit, memory use would grow with the
-/// load; the required peak is about 13 questions per second per node.
+/// Maximum number of requests in flight per traffic thread. Without the limit, memory use would
+/// grow with the load; the required peak is about 13 requests per second per node.
 const MAX_IN_FLIGHT: u32 = 4_096;
 /// Retry delay sent by a node that is not ready.
 const NOT_READY_RETRY_DELAY: Duration = Duration::from_secs(1);
@@ -61,15 +61,15 @@
     /// The monotonic clock.
     pub clock: Clock,
     /// The configuration in force, and until when it may be used.
-    pub force: Arc<snapshot::Cell<InForce>>,
+    pub in_force: Arc<snapshot::Cell<InForce>>,
     /// The members.
     pub view: Arc<snapshot::Cell<View>>,
     /// The dispatchers of this node.
     pub dispatch: Handle,
     /// Metrics.
     pub metrics: Arc<Metrics>,
-    /// Callers' questions in flight on this node.
-    pub questions: Work,
+    /// Callers' requests in flight on this node.
+    pub requests: Work,
     /// Requests held by this node's dispatchers.
     pub dispatched: Work,
     /// The node's lifecycle phase.
@@ -89,9 +89,9 @@
     /// # Errors
     /// [`Reason::NotReady`] with a retry delay.
     pub fn config(&self) -> Result<Arc<Document>, Refusal> {
-        let force = self.force.read();
-        if force.is_valid(self.clock.now()) {
-            return Ok(Arc::clone(&force.document));
+        let in_force = self.in_force.read();
+        if in_force.is_valid(self.clock.now()) {
+            return Ok(Arc::clone(&in_force.document));
         }
         Err(Refusal::new(Reason::NotReady).after(NOT_READY_RETRY_DELAY))
     }
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Runs one question and sends the pieces of its answer to `pieces`.
+    /// Runs one request and sends the pieces of its answer to `pieces`.
     ///
     /// The outcome also contains the whole answer, so a caller that does not stream can drop
     /// the receiver.
@@ -227,7 +227,7 @@
             return Outcome::NotRun(refusal);
         }
         request.time_left = request.time_left.min(self.shared.timeouts.request);
-        let _passage = match guard::Admission::enter(self, &request) {
+        let _admission = match guard::Admission::enter(self, &request) {
             Ok(admission) => admission,
             Err(refusal) => return Outcome::NotRun(refusal),
         };
@@ -276,7 +276,7 @@
         let now = self.shared.clock.now();
         let deadline = now + request.time_left;
         let mut stream = attempt::Stream::new(now, pieces);
-        let mut tried = History::default();
+        let mut history = History::default();
         let mut may_have_run = false;
         let fingerprint = request.fingerprint();
         loop {
@@ -293,8 +293,8 @@
             }
             request.time_left = remaining;
             stream.resume(&mut request);
-            request.spills = tried.count == 0;
-            let Some(endpoint) = self.pick(&request, &tried) else {
+            request.spills = history.count == 0;
+            let Some(endpoint) = self.pick(&request, &history) else {
                 let refusal = Refusal::new(Reason::NoEndpoint).after(NOT_READY_RETRY_DELAY);
                 return conclude(may_have_run, refusal);
             };
@@ -305,7 +305,7 @@
             let failure = match outcome {
                 Outcome::Done(answer) => {
                     self.budget.borrow_mut().deposit();
-                    self.report_sound(fingerprint);
+                    self.report_completion(fingerprint);
                     stream.finish(&answer).await;
                     return Outcome::Done(answer);
                 }
@@ -316,8 +316,8 @@
                     retry::Failure::MayHaveRun(refusal)
                 }
             };
-            tried.add(endpoint, &request, &failure);
-            match self.decide_retry(&config, &request, &tried, deadline, failure) {
+            history.add(endpoint, &request, &failure);
+            match self.decide_retry(&config, &request, &history, deadline, failure) {
                 Ok(wait) => actix_rt::time::sleep(wait).await,
                 Err(refusal) => return conclude(may_have_run, refusal),
             }
@@ -336,16 +336,16 @@
     /// Records a crash that the endpoint's dispatcher, possibly on another node, reported.
     async fn report_crash(&self, request: Fingerprint, refusal: &Refusal, began: Time) {
         if let Some(crash) = &refusal.crash {
-            let moment = Stage::of(self.shared.clock.now().since(began));
-            let crashed = Observation::Crashed(request, crash.clone(), moment);
+            let stage = Stage::of(self.shared.clock.now().since(began));
+            let crashed = Observation::Crashed(request, crash.clone(), stage);
             self.shared.quarantine.report_and_wait(crashed).await;
         }
     }
 
-    fn report_sound(&self, request: Fingerprint) {
+    fn report_completion(&self, request: Fingerprint) {
         if self.shared.quarantine.statuses().read().is_suspect(request) {
-            let sound = Observation::Completed(request);
-            self.shared.quarantine.report(sound);
+            let completed = Observation::Completed(request);
+            self.shared.quarantine.report(completed);
         }
     }
 
@@ -354,19 +354,19 @@
         &self,
         config: &Document,
         request: &Request,
-        tried: &History,
+        history: &History,
         deadline: Time,
         failure: retry::Failure,
     ) -> Result<Duration, Refusal> {
         let refusal = refusal_of(&failure).clone();
         let mut endpoints = config.endpoints_of(&request.service);
         let attempt = retry::Attempt {
-            count: tried.count,
+            count: history.count,
             once: request.once,
             time_left: deadline.since(self.shared.clock.now()),
-            has_alternative: endpoints.any(|endpoint| !tried.failed.contains(&endpoint.name)),
+            has_alternative: endpoints.any(|endpoint| !history.failed.contains(&endpoint.name)),
         };
-        if tried.crowded.is_some() {
+        if history.crowded.is_some() {
             // The endpoint refused immediately because it was crowded. Trying another one costs
             // one message and happens once, so it needs no retry budget.
             self.shared
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -28,7 +28,7 @@
 
 impl Gateway {
     /// Returns the endpoint to try next.
-    pub(super) fn pick(&self, request: &Request, tried: &History) -> Option<Name> {
+    pub(super) fn pick(&self, request: &Request, history: &History) -> Option<Name> {
         let now = self.shared.clock.now();
         let blocks = blocks(&request.body);
         let pick = |tried: &[Name]| {
@@ -40,9 +40,9 @@
             };
             self.router.borrow_mut().pick(now, &query)
         };
-        let skipped = tried.failed.iter().chain(&tried.crowded);
+        let skipped = history.failed.iter().chain(&history.crowded);
         let skipped: Vec<Name> = skipped.cloned().collect();
-        let choice = pick(&skipped).or_else(|| pick(&tried.failed))?;
+        let choice = pick(&skipped).or_else(|| pick(&history.failed))?;
         Some(choice.endpoint)
     }
 
--- a/src/job/lane.rs
+++ b/src/job/lane.rs
@@ -170,7 +170,7 @@
 
     /// Marks items that must run at most once before they are sent, and removes the marks of items
     /// whose results are in the log.
-    pub fn mark(&self, epoch: u32, items: &[u32], settled: &[u32]) -> Decision {
+    pub fn mark(&self, epoch: u32, items: &[u32], logged: &[u32]) -> Decision {
         let Some(at) = self.held.iter().position(|held| held.epoch == epoch) else {
             return Decision::Superseded;
         };
@@ -180,7 +180,7 @@
         }
         let mut lane = self.clone();
         let marked = &mut lane.held[at].marked;
-        marked.retain(|item| !settled.contains(item));
+        marked.retain(|item| !logged.contains(item));
         marked.extend(
             items
                 .iter()
--- a/src/job/runner/commit.rs
+++ b/src/job/runner/commit.rs
@@ -13,7 +13,7 @@
 /// Result of a commit.
 pub(super) struct Ended {
     work: u64,
-    change: Resolution,
+    resolution: Resolution,
 }
 
 impl<T, S, E> Runner<T, S, E>
@@ -33,16 +33,16 @@
         let replies = work.chunk.replies();
         let platform = self.platform.clone();
         self.tasks.spawn_local(async move {
-            let change = commit(&platform, &target, committed, &replies).await;
+            let resolution = commit(&platform, &target, committed, &replies).await;
             Event::Ended(Ended {
                 work: number,
-                change,
+                resolution,
             })
         });
     }
 
     pub(super) fn ended(&mut self, ended: &Ended) {
-        if ended.change != Resolution::Applied {
+        if ended.resolution != Resolution::Applied {
             self.abandon(ended.work);
             return;
         }
@@ -104,15 +104,15 @@
         tokio::time::sleep(change::retry_after(&fault)).await;
     }
     loop {
-        let change = change::apply(&platform.table, target, None, None, |lane| {
+        let resolution = change::apply(&platform.table, target, None, None, |lane| {
             lane.commit(committed)
         })
         .await;
-        let Resolution::Unknown(wait) = change else {
-            if change == Resolution::Applied && target.job.lanes > 1 {
+        let Resolution::Unknown(wait) = resolution else {
+            if resolution == Resolution::Applied && target.job.lanes > 1 {
                 end(platform, target).await;
             }
-            return change;
+            return resolution;
         };
         tokio::time::sleep(wait).await;
     }
--- a/src/job/runner/work.rs
+++ b/src/job/runner/work.rs
@@ -71,7 +71,7 @@
 pub(super) struct Marked {
     work: u64,
     numbers: Vec<u32>,
-    change: Resolution,
+    resolution: Resolution,
 }
 
 impl<T, S, E> Runner<T, S, E>
@@ -203,14 +203,14 @@
         work.phase = Phase::Marking;
         let target = work.target.clone();
         let epoch = work.held.epoch;
-        let settled = work.chunk.logged().to_vec();
+        let logged = work.chunk.logged().to_vec();
         let platform = self.platform.clone();
         self.tasks.spawn_local(async move {
-            let change = mark(&platform, &target, epoch, &numbers, &settled).await;
+            let resolution = mark(&platform, &target, epoch, &numbers, &logged).await;
             Event::Marked(Marked {
                 work: number,
                 numbers,
-                change,
+                resolution,
             })
         });
     }
@@ -220,7 +220,7 @@
             return;
         };
         work.phase = Phase::Idle;
-        match marked.change {
+        match marked.resolution {
             Resolution::Applied => work.chunk.marked(&marked.numbers),
             Resolution::Unknown(_) => {}
             Resolution::Superseded | Resolution::Inactive => self.abandon(marked.work),
@@ -245,19 +245,19 @@
     target: &Target,
     epoch: u32,
     numbers: &[u32],
-    settled: &[u32],
+    logged: &[u32],
 ) -> Resolution
 where
     T: Table,
 {
-    let change = change::apply(&platform.table, target, None, None, |lane| {
-        lane.mark(epoch, numbers, settled)
+    let resolution = change::apply(&platform.table, target, None, None, |lane| {
+        lane.mark(epoch, numbers, logged)
     })
     .await;
-    if let Resolution::Unknown(wait) = change {
+    if let Resolution::Unknown(wait) = resolution {
         tokio::time::sleep(wait).await;
     }
-    change
+    resolution
 }
 
 fn request(work: &Work, number: u32, item: Item) -> Request {
--- a/src/limit/coordinator.rs
+++ b/src/limit/coordinator.rs
@@ -96,8 +96,9 @@
     rate: Rate,
     version: u64,
     last_query: Time,
-    /// Requests that were let through, for [`TOKEN_TTL`].
+    /// Requests that were let through within the last [`TOKEN_TTL`].
     passed: HashMap<Key, (Time, Source)>,
+    /// Keys of `passed`, oldest first.
     order: VecDeque<Key>,
 }
 
@@ -112,7 +113,9 @@
 pub struct Coordinator {
     started: Time,
     tolerance: Tolerance,
+    /// By shard of organisations.
     terms: HashMap<u64, Term>,
+    /// True once this process has found the other members, or is the only one.
     settled: bool,
     /// Requests that were let through before settling, one per organisation.
     early: HashMap<Name, Key>,
@@ -241,7 +244,7 @@
             .retain(|_, account| now.since(account.last_query) < ACCOUNT_TTL);
     }
 
-    /// Returns the number of organisations that it counts for.
+    /// Returns the number of organisations whose requests it counts.
     pub fn len(&self) -> usize {
         self.accounts.len()
     }
@@ -252,7 +255,7 @@
     }
 }
 
-/// True for one in [`UNSETTLED_ONE_IN`] gateways and organisations. While all nodes have just
+/// True for one in [`UNSETTLED_ONE_IN`] pairs of a gateway and an organisation. While all nodes have just
 /// started, each of them may receive an organisation's first request.
 fn is_chosen(key: Key, query: &Query) -> bool {
     let seed = key.gateway.port().into();
--- a/src/link.rs
+++ b/src/link.rs
@@ -124,7 +124,7 @@
 
     /// Queries the control thread of the peer whose link address is `address`; returns none if
     /// no reply arrives within `wait`.
-    pub async fn ask(
+    pub async fn query(
         self: &Rc<Self>,
         address: &Name,
         query: Query,
--- a/src/member/gossip.rs
+++ b/src/member/gossip.rs
@@ -125,7 +125,9 @@
 #[derive(Clone, Copy, Debug)]
 struct Conflict {
     boot: u64,
+    /// The highest incarnation received from it.
     incarnation: u64,
+    /// How many times its incarnation has increased.
     increases: u32,
 }
 
@@ -316,7 +318,7 @@
             boot: self.me.boot,
             incarnation: self.me.member.incarnation,
             in_force: self.me.member.config_version,
-            heard: self.committed,
+            committed: self.committed,
         };
         let frame = Frame {
             head,
--- a/src/member/gossip/receive.rs
+++ b/src/member/gossip/receive.rs
@@ -38,7 +38,7 @@
             return;
         }
         self.last_heard = now;
-        if self.learn_committed(head.heard.max(head.in_force)) {
+        if self.learn_committed(head.committed.max(head.in_force)) {
             actions.push(Action::Committed(self.committed));
         }
         self.learn_in_force(&head.from, head.boot, head.in_force, actions);
--- a/src/member/gossip/sync.rs
+++ b/src/member/gossip/sync.rs
@@ -215,9 +215,12 @@
             if record.member.state == State::Dead {
                 continue;
             }
-            let place = bucket(&record.member.name) * DIGEST_BYTES;
+            let offset = bucket(&record.member.name) * DIGEST_BYTES;
             let digest = record.digest().to_be_bytes();
-            for (sum, byte) in digests[place..place + DIGEST_BYTES].iter_mut().zip(digest) {
+            for (sum, byte) in digests[offset..offset + DIGEST_BYTES]
+                .iter_mut()
+                .zip(digest)
+            {
                 *sum ^= byte;
             }
         }
--- a/src/member/shell.rs
+++ b/src/member/shell.rs
@@ -1,6 +1,6 @@
 //! Runs [`Gossip`] on a UDP socket of the control thread.
 
-use std::cell::Cell as Flag;
+use std::cell::Cell as StdCell;
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -229,7 +229,7 @@
     view: Arc<Cell<View>>,
     counts: Counts,
     events: mpsc::Sender<Event>,
-    alone: Rc<Flag<bool>>,
+    alone: Rc<StdCell<bool>>,
 }
 
 /// Starts membership on this thread and returns at once. The members are
@@ -248,7 +248,7 @@
         commands,
         dropped: setup.counts.dropped.clone(),
     };
-    let alone = Rc::new(Flag::new(true));
+    let alone = Rc::new(StdCell::new(true));
     let shell = Shell {
         gossip: Gossip::new(now, setup.me, setup.boot, setup.seeds, setup.tuning),
         socket,
@@ -269,7 +269,7 @@
     roster: R,
     lists: mpsc::Sender<Vec<Vm>>,
     counts: Counts,
-    alone: Rc<Flag<bool>>,
+    alone: Rc<StdCell<bool>>,
 ) where
     R: Roster,
 {
--- a/src/node.rs
+++ b/src/node.rs
@@ -63,8 +63,8 @@
     pub const DISPATCH: &str = "dispatch";
     /// [`crate::metric::Metrics`].
     pub const METRICS: &str = "metrics";
-    /// [`super::work::Work`] that counts callers' questions.
-    pub const QUESTIONS: &str = "questions";
+    /// [`super::work::Work`] that counts callers' requests.
+    pub const REQUESTS: &str = "questions";
     /// [`super::work::Work`] that counts requests held by dispatchers.
     pub const DISPATCHED: &str = "dispatched";
     /// Quarantine of requests that crash endpoints.
@@ -86,7 +86,7 @@
     shared: Shared,
     services: Rc<Control>,
     /// Signals of the shutdown phases.
-    stop: Shutdown,
+    shutdown: Shutdown,
     arbiters: Vec<Arbiter>,
     drained: watch::Receiver<bool>,
 }
@@ -262,7 +262,7 @@
         kernel,
         shared,
         services,
-        stop: Shutdown {
+        shutdown: Shutdown {
             batch: batch.stop,
             batch_ended: batch.ended,
             callers: callers_stop,
@@ -283,16 +283,16 @@
     let view = View {
         members: vec![own.clone()],
     };
-    let force = InForce {
+    let in_force = InForce {
         document: Arc::default(),
         until: Time::ZERO,
     };
     let mut kernel = Kernel::default();
-    kernel.register(service::CONFIG, Arc::new(Cell::new(force)));
+    kernel.register(service::CONFIG, Arc::new(Cell::new(in_force)));
     kernel.register(service::VIEW, Arc::new(Cell::new(view)));
     kernel.register(service::DISPATCH, Arc::new(dispatch));
     kernel.register(service::METRICS, Arc::new(metrics));
-    kernel.register(service::QUESTIONS, Arc::new(Work::default()));
+    kernel.register(service::REQUESTS, Arc::new(Work::default()));
     kernel.register(service::DISPATCHED, Arc::new(Work::default()));
     kernel.register(service::QUARANTINE, Arc::new(crashes));
     kernel.register(service::PHASE, Arc::new(Cell::new(Phase::Starting)));
@@ -310,11 +310,11 @@
         node: own.name.clone(),
         zone: own.zone.clone(),
         clock,
-        force: kernel.find(service::CONFIG)?,
+        in_force: kernel.find(service::CONFIG)?,
         view: kernel.find(service::VIEW)?,
         dispatch: Handle::clone(&*kernel.find(service::DISPATCH)?),
         metrics: kernel.find(service::METRICS)?,
-        questions: Work::clone(&*kernel.find(service::QUESTIONS)?),
+        requests: Work::clone(&*kernel.find(service::REQUESTS)?),
         dispatched: Work::clone(&*kernel.find(service::DISPATCHED)?),
         phase: kernel.find(service::PHASE)?,
         limits: settings.limits,
@@ -394,8 +394,8 @@
             inputs.push(Input::Tick(self.work()));
             for input in inputs.drain(..) {
                 for action in leave.step(now, input) {
-                    if let Some(ending) = self.act(action) {
-                        return self.exit(ending).await;
+                    if let Some(summary) = self.act(action) {
+                        return self.exit(summary).await;
                     }
                 }
                 self.shared.phase.publish(leave.phase());
@@ -429,10 +429,10 @@
 
     fn work(&mut self) -> leave::Work {
         // The batch thread releases its chunks before it ends.
-        let ended = self.stop.batch_ended.try_recv();
+        let ended = self.shutdown.batch_ended.try_recv();
         let is_running = ended == Err(mpsc::error::TryRecvError::Empty);
         leave::Work {
-            requests: self.shared.questions.count(),
+            requests: self.shared.requests.count(),
             dispatched: self.shared.dispatched.count(),
             chunks: usize::from(is_running),
             items: 0,
@@ -444,30 +444,30 @@
         match action {
             Action::Announce => self.services.members.leave(),
             Action::StopClaiming => {
-                let _ = self.stop.batch.send(true);
+                let _ = self.shutdown.batch.send(true);
             }
             // The dispatchers observe the phase, and the batch thread releases its chunks by
             // itself once it is stopped.
             Action::HandOver | Action::ReleaseChunks => {}
             Action::RejectRequests => {
-                let _ = self.stop.callers.send(true);
+                let _ = self.shutdown.callers.send(true);
             }
             Action::AbortAll => {
-                let _ = self.stop.cut.send(true);
+                let _ = self.shutdown.cut.send(true);
             }
-            Action::Exit(ending) => return Some(ending),
+            Action::Exit(summary) => return Some(summary),
         }
         None
     }
 
-    async fn exit(self, ending: Summary) {
+    async fn exit(self, summary: Summary) {
         self.services.members.exit().await;
         // The last answers may still be in the sockets' buffers.
         actix_rt::time::sleep(FLUSH_TIME).await;
         for arbiter in self.arbiters {
             arbiter.stop();
         }
-        let Summary { aborted, chunks } = ending;
+        let Summary { aborted, chunks } = summary;
         log::info!("{} cut={aborted} chunks={chunks}", event::NODE_STOPPED);
     }
 }
--- a/src/node/batch.rs
+++ b/src/node/batch.rs
@@ -194,7 +194,7 @@
     }
 
     async fn execute(&self, mut request: Request) -> Outcome<Answer> {
-        // An item without a token limit gets that of its service, as a question does; otherwise
+        // An item without a token limit gets that of its service, as an online request does; otherwise
         // the endpoint would reject it, and every item of its job. Any other error in the item
         // is reported by the endpoint.
         if let Ok(config) = self.shared.config()
--- a/src/node/control.rs
+++ b/src/node/control.rs
@@ -98,7 +98,7 @@
         pool: Pool::new(shared.node.clone()),
         roster,
     };
-    let force = shared.force.clone();
+    let in_force = shared.in_force.clone();
     let client = start.client;
     let placement = client.clone();
     let watch = Watch::new(
@@ -106,7 +106,7 @@
         client.clone(),
         net.clone(),
         shared.clock,
-        force,
+        in_force,
     );
     let limits = Rc::new(Shares::new(shared.clone(), members.clone(), start.grants));
     let control = Rc::new(Control {
@@ -131,15 +131,15 @@
 /// Joins the placement of models in this node's region, which the holder of the region's lease
 /// performs.
 fn start_placement(shared: &Shared, boot: u64, client: &Client) {
-    let site = Context {
+    let context = Context {
         node: shared.node.clone(),
         zone: shared.zone.clone(),
         nonce: boot,
         clock: shared.clock,
-        force: shared.force.clone(),
+        in_force: shared.in_force.clone(),
         view: shared.view.clone(),
     };
-    placement::run::start(site, client.clone());
+    placement::run::start(context, client.clone());
 }
 
 /// Registers this VM with the stand-in platform; a real platform needs no registration.
@@ -194,11 +194,11 @@
 
     /// Answers queries from other nodes' control threads.
     async fn answer(self: Rc<Self>, mut queries: mpsc::Receiver<PendingQuery>) {
-        while let Some(asked) = queries.recv().await {
-            let reply = match asked.query {
+        while let Some(pending) = queries.recv().await {
+            let reply = match pending.query {
                 Query::Report => Reply::Report(self.watch.report()),
                 Query::Document => {
-                    let document = self.watch.force().document;
+                    let document = self.watch.in_force().document;
                     Reply::Document((document.version > 0).then_some(document))
                 }
                 Query::Announce { version } => {
@@ -216,7 +216,7 @@
                 },
             };
             // An error means that the querying node no longer waits.
-            let _ = asked.reply.send(reply);
+            let _ = pending.reply.send(reply);
         }
     }
 
@@ -225,13 +225,13 @@
     async fn announce_version(self: Rc<Self>) {
         let mut announced = 0;
         loop {
-            let force = self.shared.force.load();
-            let version = force.document.version;
+            let in_force = self.shared.in_force.load();
+            let version = in_force.document.version;
             if version > announced {
                 announced = version;
                 self.members.committed(version);
                 self.members.in_force(version);
-                let organisations = force.document.organisations.values();
+                let organisations = in_force.document.organisations.values();
                 let weights = organisations.map(|o| (o.name.clone(), o.weight)).collect();
                 self.runner.send(runner::Input::Weights(weights));
             }
@@ -254,7 +254,7 @@
         if node.is_empty() || *node == *self.shared.node {
             return Some(self.drain_self());
         }
-        match self.net.ask(node, Query::Drain).await? {
+        match self.net.query(node, Query::Drain).await? {
             Reply::Draining { in_flight } => Some(in_flight),
             _ => None,
         }
@@ -270,7 +270,7 @@
             .filter(|member| member.name != self.shared.node);
         let mut replies: FuturesUnordered<_> = peers
             .map(|member| async {
-                let reply = self.net.ask(&member.name, Query::Loads).await;
+                let reply = self.net.query(&member.name, Query::Loads).await;
                 (member.name.clone(), reply)
             })
             .collect();
@@ -303,8 +303,8 @@
 
     /// Applies a document that was just committed through this node, so that it is in force
     /// here immediately.
-    pub fn committed(&self, asked: Time, document: crate::config::Document) {
-        self.watch.committed(asked, document.into());
+    pub fn committed(&self, requested_at: Time, document: crate::config::Document) {
+        self.watch.committed(requested_at, document.into());
     }
 }
 
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -63,9 +63,9 @@
 
 impl Net {
     /// Queries a member; returns none if it does not answer.
-    pub async fn ask(&self, peer: &str, query: Query) -> Option<Reply> {
+    pub async fn query(&self, peer: &str, query: Query) -> Option<Reply> {
         let link = self.view.read().find(peer)?.link.clone();
-        self.pool.ask(&link, query, QUERY_TIMEOUT).await
+        self.pool.query(&link, query, QUERY_TIMEOUT).await
     }
 }
 
@@ -87,21 +87,21 @@
     }
 
     async fn report(&self, peer: &str) -> Option<Report> {
-        match self.ask(peer, Query::Report).await? {
+        match self.query(peer, Query::Report).await? {
             Reply::Report(report) => Some(report),
             _ => None,
         }
     }
 
     async fn document(&self, peer: &str) -> Option<Arc<Document>> {
-        match self.ask(peer, Query::Document).await? {
+        match self.query(peer, Query::Document).await? {
             Reply::Document(document) => document,
             _ => None,
         }
     }
 
     async fn announce(&self, peer: &str, version: u64) -> bool {
-        let reply = self.ask(peer, Query::Announce { version }).await;
+        let reply = self.query(peer, Query::Announce { version }).await;
         reply == Some(Reply::Announced)
     }
 }
--- a/src/node/remote.rs
+++ b/src/node/remote.rs
@@ -11,7 +11,7 @@
 type Task<S> = Box<dyn FnOnce(Rc<S>) + Send>;
 
 /// Runs functions on the thread that owns an `S`. Only operators' methods use it; callers'
-/// questions never wait for the control thread.
+/// requests never wait for the control thread.
 pub struct Remote<S> {
     tasks: mpsc::Sender<Task<S>>,
 }
--- a/src/node/shares.rs
+++ b/src/node/shares.rs
@@ -108,8 +108,8 @@
     }
 
     fn bound(&self, organisation: &str) -> Bound {
-        let force = self.shared.force.read();
-        let found = force.document.organisations.get(organisation);
+        let in_force = self.shared.in_force.read();
+        let found = in_force.document.organisations.get(organisation);
         found.map_or_else(Bound::default, |found| Bound {
             rate: found.rate,
             concurrency: found.concurrency,
--- a/src/permit.rs
+++ b/src/permit.rs
@@ -65,7 +65,7 @@
     NoEndpoint(Duration),
 }
 
-/// A claim of a request on a slot of a service.
+/// A request's claim to a slot of a service.
 #[derive(Clone, Debug)]
 pub struct Claim {
     /// The service.
@@ -263,7 +263,7 @@
             started: now,
             attempts: Attempts::new(now),
         };
-        self.send_ask(now, seq, &mut waiting);
+        self.send_acquire(now, seq, &mut waiting);
         self.waiting.borrow_mut().insert(seq, waiting);
         let mut withdraw = Withdraw {
             broker: self,
@@ -395,7 +395,7 @@
             self.send_release(from, seq, &waiting.pool, End::Left);
             waiting.claim.requirements.avoid.push(id.clone());
             waiting.attempts.unanswered = 0;
-            self.send_ask(now, seq, &mut waiting);
+            self.send_acquire(now, seq, &mut waiting);
             self.waiting.borrow_mut().insert(seq, waiting);
             return;
         };
@@ -426,7 +426,7 @@
             if due.give_up {
                 exhausted.push(*seq);
             } else {
-                self.send_ask(now, *seq, waiting);
+                self.send_acquire(now, *seq, waiting);
             }
         }
         for seq in exhausted {
--- a/src/permit/send.rs
+++ b/src/permit/send.rs
@@ -24,11 +24,11 @@
                 continue;
             };
             for some in renewals.chunks(MAX_RENEWALS) {
-                let question = Request::Renew {
+                let request = Request::Renew {
                     pool: pool.clone(),
                     renewals: some.to_vec(),
                 };
-                self.send(owner, &question);
+                self.send(owner, &request);
             }
         }
     }
@@ -69,7 +69,7 @@
         self.send(owner, &Request::Release { pool, seq, end });
     }
 
-    pub(super) fn send_ask(&self, now: Time, seq: u64, waiting: &mut Waiting) {
+    pub(super) fn send_acquire(&self, now: Time, seq: u64, waiting: &mut Waiting) {
         let owner = self.owners.borrow_mut().owner(&waiting.pool);
         waiting.attempts.record_send(now, owner);
         let Some(owner) = owner else {
@@ -90,8 +90,8 @@
         );
     }
 
-    pub(super) fn send(&self, owner: SocketAddr, question: &Request) {
-        match wire::encode(question) {
+    pub(super) fn send(&self, owner: SocketAddr, request: &Request) {
+        match wire::encode(request) {
             // A datagram that does not fit into the socket's buffer is lost like any
             // other and repeated later.
             Ok(bytes) => drop(self.socket.try_send_to(&bytes, owner)),
--- a/src/placement/run.rs
+++ b/src/placement/run.rs
@@ -38,7 +38,7 @@
     /// The monotonic clock.
     pub clock: Clock,
     /// The configuration in force.
-    pub force: Arc<Cell<InForce>>,
+    pub in_force: Arc<Cell<InForce>>,
     /// The members.
     pub view: Arc<Cell<View>>,
 }
@@ -62,7 +62,7 @@
         elector.clone(),
         platform,
         context.clock,
-        context.force,
+        context.in_force,
     );
     actix_rt::spawn(elector.clone().run());
     actix_rt::spawn(placer.clone().run());
@@ -84,7 +84,7 @@
     elector: Elector<T>,
     weight: W,
     clock: Clock,
-    force: Arc<Cell<InForce>>,
+    in_force: Arc<Cell<InForce>>,
     http: awc::Client,
     planner: RefCell<Planner>,
 }
@@ -109,14 +109,14 @@
         elector: Elector<T>,
         weight: W,
         clock: Clock,
-        force: Arc<Cell<InForce>>,
+        in_force: Arc<Cell<InForce>>,
     ) -> Self {
         Self {
             inner: Rc::new(Inner {
                 elector,
                 weight,
                 clock,
-                force,
+                in_force,
                 http: http::client(ORDER_TIMEOUT),
                 planner: RefCell::new(Planner::new(region)),
             }),
@@ -127,12 +127,12 @@
     pub async fn run(self) {
         let mut version = 0;
         loop {
-            let force = self.inner.force.load();
+            let in_force = self.inner.in_force.load();
             let now = self.inner.clock.now();
-            let holds = force.is_valid(now);
-            if holds && force.document.version != version {
-                version = force.document.version;
-                self.step(Input::Document(Arc::clone(&force.document)));
+            let holds = in_force.is_valid(now);
+            if holds && in_force.document.version != version {
+                version = in_force.document.version;
+                self.step(Input::Document(Arc::clone(&in_force.document)));
             }
             let held = self.inner.elector.held().filter(|_| holds);
             self.step(Input::Tick { held });
@@ -201,8 +201,8 @@
     }
 
     fn url(&self, endpoint: &str, path: &str) -> Option<String> {
-        let force = self.inner.force.read();
-        let address = &force.document.endpoints.get(endpoint)?.address;
+        let in_force = self.inner.in_force.read();
+        let address = &in_force.document.endpoints.get(endpoint)?.address;
         Some(format!("http://{address}{path}"))
     }
 
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -335,8 +335,8 @@
                 endpoint: endpoint.clone(),
                 pause,
                 strikes: candidate.strikes(),
-                errors_online: candidate.errors(Class::Online),
-                errors_batch: candidate.errors(Class::Batch),
+                errors_online: candidate.error_permille(Class::Online),
+                errors_batch: candidate.error_permille(Class::Batch),
             });
         }
     }
--- a/src/pool/candidate.rs
+++ b/src/pool/candidate.rs
@@ -34,6 +34,7 @@
     /// Slots used by batch runs, without those that are being preempted.
     pub(super) batch: u32,
     paused_until: Time,
+    /// Number of consecutive ejections; not zero while the endpoint is on trial.
     strikes: u32,
     error_rates: ErrorRates,
     prefixes: VecDeque<u64>,
@@ -75,12 +76,12 @@
         *held = held.saturating_sub(1);
     }
 
-    pub(super) fn is_open(&self, now: Time) -> bool {
+    pub(super) fn is_available(&self, now: Time) -> bool {
         self.endpoint.ready && now >= self.paused_until
     }
 
     pub(super) fn free(&self, now: Time) -> u32 {
-        if !self.is_open(now) {
+        if !self.is_available(now) {
             return 0;
         }
         // After a failure only trial slots are available.
@@ -148,7 +149,7 @@
     }
 
     /// Error rate in thousandths, for the log.
-    pub(super) fn errors(&self, class: Class) -> u32 {
+    pub(super) fn error_permille(&self, class: Class) -> u32 {
         // The rate is between 0 and 1.
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
         let thousandths = (self.error_rates.rate(class) * 1_000.0) as u32;
--- a/src/pool/fault.rs
+++ b/src/pool/fault.rs
@@ -10,14 +10,15 @@
 use super::message::Class;
 
 /// Weights of an error and of a good answer in an endpoint's error rate. Three errors
-/// in quick succession make an endpoint suspect, and five consecutive good answers make
-/// it healthy again, which an endpoint that fails 40% of its requests rarely reaches.
+/// in quick succession raise it to [`MIN_OUTLIER_RATE`], and five consecutive good answers
+/// lower it to [`HEALTHY_RATE`], which an endpoint that fails 40% of its requests rarely
+/// reaches.
 const ERROR_WEIGHT: f64 = 0.2;
 const GOOD_WEIGHT: f64 = 0.3;
-/// Error rate from which an endpoint is suspect. Endpoints that lose 6% of their
+/// Minimum error rate of an outlier. Endpoints that lose 6% of their
 /// answers have two consecutive failures every few seconds and must stay in use.
-const SUSPECT_RATE: f64 = 0.45;
-/// Factor by which a suspect endpoint's rate must exceed the median of the others.
+const MIN_OUTLIER_RATE: f64 = 0.45;
+/// Factor by which an outlier's error rate must exceed the median of the others.
 const OUTLIER_FACTOR: f64 = 3.0;
 /// Error rate below which an endpoint is healthy.
 const HEALTHY_RATE: f64 = 0.1;
@@ -60,10 +61,10 @@
         if self.is_healthy() {
             return slots.min(1);
         }
-        let trust = (1.0 - self.worst() / SUSPECT_RATE).max(0.0);
+        let share = (1.0 - self.worst() / MIN_OUTLIER_RATE).max(0.0);
         // The value is between 0 and the slots of one endpoint.
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-        let earned = (f64::from(slots.saturating_sub(1)) * trust) as u32;
+        let earned = (f64::from(slots.saturating_sub(1)) * share) as u32;
         slots.min(1 + earned)
     }
 
@@ -75,7 +76,7 @@
 /// True when an endpoint with this error rate is an outlier. Without other endpoints
 /// there is no alternative, so it never is.
 pub(super) fn is_outlier(rate: f64, others: &mut [f64]) -> bool {
-    if rate < SUSPECT_RATE || others.is_empty() {
+    if rate < MIN_OUTLIER_RATE || others.is_empty() {
         return false;
     }
     let middle = others.len() / 2;
--- a/src/pool/grant.rs
+++ b/src/pool/grant.rs
@@ -241,7 +241,7 @@
                     && !requirements.avoid.contains(&permit.endpoint)
                     && candidates
                         .get(&permit.endpoint)
-                        .is_some_and(|candidate| candidate.is_open(now))
+                        .is_some_and(|candidate| candidate.is_available(now))
             })
             .max_by_key(|(_, permit)| permit.due)?;
         permit.stopping = Some((now, now));
--- a/src/pool/shard.rs
+++ b/src/pool/shard.rs
@@ -13,9 +13,9 @@
 /// Number of slots above which a service has a pool per zone. A pool of 168 slots uses
 /// them nearly as efficiently as a single pool of all slots would.
 const MAX_SINGLE_POOL_SLOTS: u32 = 200;
-/// Separates the service from the zone in a pool's name. Names of services do not
-/// contain it.
-const MARK: char = '@';
+/// Separator between the service and the zone in a pool's name. Names of services do
+/// not contain it.
+const ZONE_SEPARATOR: char = '@';
 
 /// A pool and its size.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -42,7 +42,7 @@
     zones
         .into_iter()
         .map(|(zone, slots)| Shard {
-            pool: format!("{service}{MARK}{zone}").into(),
+            pool: format!("{service}{ZONE_SEPARATOR}{zone}").into(),
             slots,
         })
         .collect()
@@ -50,7 +50,7 @@
 
 /// True when `endpoint` belongs to `pool`.
 pub fn contains(pool: &str, endpoint: &Endpoint) -> bool {
-    match pool.split_once(MARK) {
+    match pool.split_once(ZONE_SEPARATOR) {
         Some((service, zone)) => *endpoint.service == *service && *endpoint.zone == *zone,
         None => *endpoint.service == *pool,
     }
@@ -58,7 +58,7 @@
 
 /// Returns the zone that a pool is restricted to, if any.
 pub fn zone(pool: &str) -> Option<&str> {
-    pool.split_once(MARK).map(|(_, zone)| zone)
+    pool.split_once(ZONE_SEPARATOR).map(|(_, zone)| zone)
 }
 
 /// Returns the pool that a request from a zone tries first: the one of its own zone, so
@@ -67,8 +67,8 @@
 pub fn choose_near(shards: &[Shard], own: &str, point: u64) -> Option<Name> {
     let near = shards.iter().find(|shard| zone(&shard.pool) == Some(own));
     let all: u32 = shards.iter().map(|shard| shard.slots).sum();
-    let many = |shard: &&Shard| shard.slots as usize * shards.len() * 2 >= all as usize;
-    match near.filter(many) {
+    let is_large = |shard: &&Shard| shard.slots as usize * shards.len() * 2 >= all as usize;
+    match near.filter(is_large) {
         Some(near) => Some(near.pool.clone()),
         None => choose(shards, point, None),
     }
--- a/src/quarantine/detector.rs
+++ b/src/quarantine/detector.rs
@@ -1,7 +1,7 @@
 //! One node's part in the quarantine: investigates failed runs, notifies other nodes, stores
 //! verdicts, and reports the status of each request.
 
-use std::cell::{Cell as Flag, RefCell};
+use std::cell::{Cell as StdCell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -93,8 +93,8 @@
     /// The rows in the store, with the end of each by the store's clock in milliseconds.
     rows: RefCell<BTreeMap<Fingerprint, u64>>,
     /// Time of the store's last answer, and its clock in that answer.
-    store_clock: Flag<Option<(Time, u64)>>,
-    watched: Flag<usize>,
+    store_clock: StdCell<Option<(Time, u64)>>,
+    watched: StdCell<usize>,
     /// Notified at each verdict.
     changed: Notify,
 }
@@ -107,8 +107,8 @@
             evidence: RefCell::default(),
             unsaved: RefCell::default(),
             rows: RefCell::default(),
-            store_clock: Flag::new(None),
-            watched: Flag::new(0),
+            store_clock: StdCell::new(None),
+            watched: StdCell::new(0),
             changed: Notify::new(),
         })
     }
@@ -421,12 +421,12 @@
         let Some(clock) = self.store_now() else {
             return;
         };
-        let grace = millis(ROW_RETENTION);
+        let retention = millis(ROW_RETENTION);
         let old = {
             let view = self.setup.view.read();
             let rows = self.rows.borrow();
             rows.iter()
-                .filter(|(_, until)| **until + grace < clock)
+                .filter(|(_, until)| **until + retention < clock)
                 .map(|(request, _)| *request)
                 .find(|request| view.rank(&request.to_string(), &self.setup.me) == 0)
         };
--- a/src/quarantine/evidence.rs
+++ b/src/quarantine/evidence.rs
@@ -65,9 +65,9 @@
 /// Stage of a run at which its endpoint ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// At least 2 s after the run began.
+    /// At or after `EARLY_LIMIT` since the run began.
     Late,
-    /// Earlier than that.
+    /// Before `EARLY_LIMIT`.
     Early,
 }
 
--- a/src/rpc/caller.rs
+++ b/src/rpc/caller.rs
@@ -1,4 +1,4 @@
-//! Conversion and validation of questions: the methods of `auburnspoke.v1.Caller` that run a
+//! Conversion and validation of online requests: the methods of `auburnspoke.v1.Caller` that run a
 //! single request.
 
 use std::time::Duration;
@@ -15,7 +15,7 @@
 /// Longest deadline that a caller may set.
 const MAX_DEADLINE: Duration = Duration::from_secs(600);
 
-/// Validates a question and converts it to a request; its prompt may have up to `prompt_bytes`
+/// Validates a call and converts it to a request; its prompt may have up to `prompt_bytes`
 /// bytes.
 ///
 /// # Errors
--- a/src/rpc/client.rs
+++ b/src/rpc/client.rs
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Asks a question whose answer is streamed. Addresses are tried as in [`Self::call`],
+    /// Sends a request whose answer is streamed. Addresses are tried as in [`Self::call`],
     /// until the first piece arrives.
     ///
     /// # Errors
--- a/src/rpc/operator.rs
+++ b/src/rpc/operator.rs
@@ -42,13 +42,13 @@
 pub async fn change(call: &Call, change: Change) -> Outcome<v1::ApplyConfigResponse> {
     let changed = call
         .call(|control| async move {
-            let asked = control.now();
+            let requested_at = control.now();
             let dry_run = change.dry_run();
             let result = commit(&control, change).await;
             if let Ok(accepted) = &result
                 && !dry_run
             {
-                control.committed(asked, accepted.document.clone());
+                control.committed(requested_at, accepted.document.clone());
             }
             result.map(|accepted| v1::ApplyConfigResponse {
                 version: accepted.document.version,
@@ -105,7 +105,7 @@
 /// Returns the version that each member has in force, as known to this node.
 pub fn status(shared: &Shared) -> v1::ConfigStatusResponse {
     let view = shared.view.read();
-    let version = shared.force.read().document.version;
+    let version = shared.in_force.read().document.version;
     let nodes = view.members.iter().filter(|m| m.state != State::Dead);
     let nodes: Vec<v1::NodeVersion> = nodes
         .map(|member| v1::NodeVersion {
@@ -128,7 +128,7 @@
     let Some(loads) = loads.await else {
         return control_busy();
     };
-    let config = shared.force.load();
+    let config = shared.in_force.load();
     let view = shared.view.read();
     let statuses = config.document.endpoints.values().map(|endpoint| {
         let dispatcher = route::dispatcher(&view, &endpoint.name, &endpoint.zone);
--- a/src/rpc/server.rs
+++ b/src/rpc/server.rs
@@ -123,7 +123,7 @@
             Ok(body) => body,
             Err(error) => return refused(media, true, &body_refusal(error)),
         };
-        let work = self.shared.questions.begin();
+        let work = self.shared.requests.begin();
         if matches!(**self.shared.phase.read(), Phase::Closing | Phase::Cutting) {
             let refusal = Refusal::new(Reason::NotReady)
                 .with_message("the node is shutting down; use another address");
@@ -142,25 +142,25 @@
     }
 
     /// Returns the body limit of a path. Only jobs may be long, so that many concurrent callers
-    /// can't fill the memory with questions that would be refused anyway.
+    /// can't fill the memory with requests that would be refused anyway.
     fn body_limit(&self, path: &str) -> usize {
         let limits = self.shared.limits;
         if path.ends_with("/SubmitJob") {
             return limits.body_bytes;
         }
-        let question = limits.prompt_bytes.saturating_mul(MAX_JSON_EXPANSION);
-        question.max(MIN_BODY_LIMIT_BYTES).min(limits.body_bytes)
+        let max_bytes = limits.prompt_bytes.saturating_mul(MAX_JSON_EXPANSION);
+        max_bytes.max(MIN_BODY_LIMIT_BYTES).min(limits.body_bytes)
     }
 
     async fn caller(&self, method: &str, format: Format, body: Bytes) -> Outcome<Bytes> {
         match method {
-            "Locate" => unary(format, &body, |ask| async move { self.locate(&ask) }).await,
-            "Ask" => unary(format, &body, |ask| self.ask(ask)).await,
+            "Locate" => unary(format, &body, |it| async move { self.locate(&it) }).await,
+            "Ask" => unary(format, &body, |request| self.ask(request)).await,
             "SubmitJob" => unary(format, &body, |job| self.submit_job(job)).await,
-            "JobStatus" => unary(format, &body, |ask| self.job_status(ask)).await,
-            "JobResults" => unary(format, &body, |ask| self.job_results(ask)).await,
-            "CancelJob" => unary(format, &body, |ask| self.cancel_job(ask)).await,
-            "ListJobs" => unary(format, &body, |ask| self.list_jobs(ask)).await,
+            "JobStatus" => unary(format, &body, |request| self.job_status(request)).await,
+            "JobResults" => unary(format, &body, |request| self.job_results(request)).await,
+            "CancelJob" => unary(format, &body, |request| self.cancel_job(request)).await,
+            "ListJobs" => unary(format, &body, |request| self.list_jobs(request)).await,
             _ => unknown_method(method),
         }
     }
@@ -173,22 +173,22 @@
                 unary(format, &body, get).await
             }
             "ApplyConfig" => {
-                let apply = |ask| operator::change(call, Change::Config(ask));
+                let apply = |request| operator::change(call, Change::Config(request));
                 unary(format, &body, apply).await
             }
             "ApplyService" => {
-                let apply = |ask| operator::change(call, Change::Service(ask));
+                let apply = |request| operator::change(call, Change::Service(request));
                 unary(format, &body, apply).await
             }
             "AddEndpoint" => {
-                let add = |ask| operator::change(call, Change::Endpoint(ask));
+                let add = |request| operator::change(call, Change::Endpoint(request));
                 unary(format, &body, add).await
             }
             "RemoveEndpoint" => {
-                let remove = |ask| operator::change(call, Change::Remove(ask));
+                let remove = |request| operator::change(call, Change::Remove(request));
                 unary(format, &body, remove).await
             }
-            "ConfigHistory" => unary(format, &body, |ask| operator::history(call, ask)).await,
+            "ConfigHistory" => unary(format, &body, |it| operator::history(call, it)).await,
             "ConfigStatus" => {
                 let status = |_: v1::ConfigStatusRequest| async {
                     Outcome::Done(operator::status(&self.shared))
@@ -205,13 +205,13 @@
                 };
                 unary(format, &body, list).await
             }
-            "Drain" => unary(format, &body, |ask| operator::drain(call, ask)).await,
+            "Drain" => unary(format, &body, |request| operator::drain(call, request)).await,
             _ => unknown_method(method),
         }
     }
 
-    async fn ask(&self, ask: v1::AskRequest) -> Outcome<v1::AskResponse> {
-        let request = match caller::request(ask, self.shared.limits.prompt_bytes) {
+    async fn ask(&self, request: v1::AskRequest) -> Outcome<v1::AskResponse> {
+        let request = match caller::request(request, self.shared.limits.prompt_bytes) {
             Ok(request) => request,
             Err(refusal) => return self.invalid(refusal),
         };
@@ -220,13 +220,13 @@
         self.gateway.ask(request, pieces).await.map(caller::answer)
     }
 
-    fn locate(&self, ask: &v1::LocateRequest) -> Outcome<v1::LocateResponse> {
+    fn locate(&self, request: &v1::LocateRequest) -> Outcome<v1::LocateResponse> {
         let ticket = self.tickets.get().wrapping_add(1);
         self.tickets.set(ticket);
         let view = self.shared.view.read();
         let here = &self.shared.zone;
-        let count = usize::try_from(ask.count).unwrap_or(usize::MAX);
-        match locate::locate(&view, here, &ask.zone, count, ticket) {
+        let count = usize::try_from(request.count).unwrap_or(usize::MAX);
+        match locate::locate(&view, here, &request.zone, count, ticket) {
             Ok(answer) => Outcome::Done(v1::LocateResponse {
                 addresses: answer.addresses.iter().map(ToString::to_string).collect(),
                 keep_ms: u32::try_from(answer.ttl.as_millis()).unwrap_or(u32::MAX),
@@ -235,12 +235,12 @@
         }
     }
 
-    async fn submit_job(&self, ask: v1::SubmitJobRequest) -> Outcome<v1::SubmitJobResponse> {
+    async fn submit_job(&self, request: v1::SubmitJobRequest) -> Outcome<v1::SubmitJobResponse> {
         let config = match self.shared.config() {
             Ok(config) => config,
             Err(refusal) => return Outcome::NotRun(refusal),
         };
-        let submission = match job::submission(ask, self.shared.limits) {
+        let submission = match job::submission(request, self.shared.limits) {
             Ok(submission) => submission,
             Err(refusal) => return Outcome::NotRun(refusal),
         };
@@ -260,26 +260,26 @@
         })
     }
 
-    async fn job_status(&self, ask: v1::JobStatusRequest) -> Outcome<v1::JobStatusResponse> {
-        match job::id(&ask.job) {
+    async fn job_status(&self, request: v1::JobStatusRequest) -> Outcome<v1::JobStatusResponse> {
+        match job::id(&request.job) {
             Ok(id) => self.jobs.status(&id).await.map(|found| job::status(&found)),
             Err(refusal) => Outcome::NotRun(refusal),
         }
     }
 
-    async fn job_results(&self, ask: v1::JobResultsRequest) -> Outcome<v1::JobResultsResponse> {
-        let id = match job::id(&ask.job) {
+    async fn job_results(&self, request: v1::JobResultsRequest) -> Outcome<v1::JobResultsResponse> {
+        let id = match job::id(&request.job) {
             Ok(id) => id,
             Err(refusal) => return Outcome::NotRun(refusal),
         };
-        if !ask.item.is_empty() {
-            let found = self.jobs.result(&id, &ask.item).await;
+        if !request.item.is_empty() {
+            let found = self.jobs.result(&id, &request.item).await;
             return found.map(|reply| v1::JobResultsResponse {
                 results: reply.into_iter().map(job::reply).collect(),
                 ..v1::JobResultsResponse::default()
             });
         }
-        let from = match ask.page.as_str() {
+        let from = match request.page.as_str() {
             "" => Ok(0),
             page => page.parse(),
         };
@@ -288,12 +288,12 @@
                 .with_message("page: send back next_page unchanged, or nothing for the first page");
             return Outcome::NotRun(refusal);
         };
-        let page = self.jobs.results(&id, from, ask.limit as usize).await;
+        let page = self.jobs.results(&id, from, request.limit as usize).await;
         page.map(job::results)
     }
 
-    async fn cancel_job(&self, ask: v1::CancelJobRequest) -> Outcome<v1::CancelJobResponse> {
-        match job::id(&ask.job) {
+    async fn cancel_job(&self, request: v1::CancelJobRequest) -> Outcome<v1::CancelJobResponse> {
+        match job::id(&request.job) {
             Ok(id) => {
                 let cancelled = self.jobs.cancel(&id).await;
                 if matches!(cancelled, Outcome::Done(_)) {
@@ -321,10 +321,10 @@
         });
     }
 
-    async fn list_jobs(&self, ask: v1::ListJobsRequest) -> Outcome<v1::ListJobsResponse> {
+    async fn list_jobs(&self, request: v1::ListJobsRequest) -> Outcome<v1::ListJobsResponse> {
         let listing = self
             .jobs
-            .list(&ask.organisation, &ask.page, ask.limit as usize)
+            .list(&request.organisation, &request.page, request.limit as usize)
             .await;
         listing.map(|listing| job::listing(&listing))
     }
@@ -337,7 +337,7 @@
             return refused(media, true, &refusal);
         }
         let decoded = open_request(media.format, body)
-            .and_then(|ask| caller::request(ask, self.shared.limits.prompt_bytes))
+            .and_then(|request| caller::request(request, self.shared.limits.prompt_bytes))
             .map_err(|refusal| self.invalid::<()>(refusal));
         let request = match decoded {
             Ok(request) => request,
@@ -371,7 +371,7 @@
     }
 }
 
-/// Decodes an enveloped question.
+/// Decodes an enveloped request.
 fn open_request(format: Format, body: Bytes) -> Result<v1::AskRequest, Refusal> {
     let invalid = |what: &str| Refusal::new(Reason::Invalid).with_message(what);
     let mut bytes = body.into();
@@ -390,7 +390,7 @@
     R: Future<Output = Outcome<A>>,
 {
     match codec::decode(format, body) {
-        Ok(question) => method(question)
+        Ok(request) => method(request)
             .await
             .map(|answer| codec::encode(format, &answer)),
         Err(what) => Outcome::NotRun(
--- a/src/wire/control.rs
+++ b/src/wire/control.rs
@@ -55,7 +55,7 @@
     pub in_force: u64,
     /// The newest configuration version that it has received notice of.
     #[serde(rename = "w")]
-    pub heard: u64,
+    pub committed: u64,
 }
 
 /// A message of the membership protocol.
--- a/tests/cli_remote.rs
+++ b/tests/cli_remote.rs
@@ -178,7 +178,7 @@
     format!("{},{}", first.address, second.address)
 }
 
-/// Rolling restart under load: the stopping node refuses a question as not run. The client must
+/// Rolling restart under load: the stopping node refuses a request as not run. The client must
 /// try the next address, or the caller gets an error although another node would answer.
 #[gtest]
 fn ask_next_server_not_ready() {
--- a/tests/config_follow/fleet.rs
+++ b/tests/config_follow/fleet.rs
@@ -148,12 +148,12 @@
     /// enough.
     pub fn work(&mut self, at: usize) {
         let (now, node) = (self.now, &mut self.nodes[at]);
-        let force = node.follower.force();
-        if !force.is_valid(now) {
+        let in_force = node.follower.in_force();
+        if !in_force.is_valid(now) {
             return;
         }
         self.accepted += 1;
-        let version = force.document.version;
+        let version = in_force.document.version;
         assert!(
             version >= node.applied,
             "n{at} returned to version {version}"
@@ -182,7 +182,7 @@
                 self.send_to_peer(at, from, Message::Input(answer));
             }
             Message::FetchFrom { from } => {
-                let document = Arc::clone(&self.nodes[at].follower.force().document);
+                let document = Arc::clone(&self.nodes[at].follower.in_force().document);
                 self.send_to_peer(at, from, Message::Input(Input::Offered(document)));
             }
             Message::Announced { version, began } => {
@@ -324,10 +324,10 @@
     }
 
     pub fn versions(&self) -> Vec<u64> {
-        let forces = self.nodes.iter().map(|node| node.follower.force());
-        let held = forces.map(|force| {
-            if force.is_valid(self.now) {
-                force.document.version
+        let all = self.nodes.iter().map(|node| node.follower.in_force());
+        let held = all.map(|in_force| {
+            if in_force.is_valid(self.now) {
+                in_force.document.version
             } else {
                 0
             }
--- a/tests/directory_addresses.rs
+++ b/tests/directory_addresses.rs
@@ -35,11 +35,11 @@
     let regions = (0..ZONES)
         .map(|at| (format!("z{at}").into(), "r0".into()))
         .collect::<BTreeMap<Name, Name>>();
-    let place = Location {
+    let location = Location {
         region: "r0".into(),
         zone: "z1".into(),
     };
-    addresses(view, &regions, &place, without)
+    addresses(view, &regions, &location, without)
 }
 
 /// Returns the number of the member at `address`.
--- a/tests/drill_online.rs
+++ b/tests/drill_online.rs
@@ -1,4 +1,4 @@
-//! Failures of endpoints and nodes while questions are in flight, on real processes.
+//! Failures of endpoints and nodes while requests are in flight, on real processes.
 
 use std::io::{Read as _, Write as _};
 use std::net::TcpStream;
@@ -12,7 +12,7 @@
 
 const ASK: &str = "/auburnspoke.v1.Caller/Ask";
 
-/// A question that runs for a while on an engine at normal speed.
+/// A request that runs for a while on an engine at normal speed.
 fn long(n: usize) -> Value {
     json!({"service": "recipes", "prompt": format!("question {n}"), "maxTokens": 80, "key": format!("k{n}")})
 }
@@ -41,7 +41,7 @@
     fleet
 }
 
-/// Returns the answers of a healthy engine to each of `count` questions.
+/// Returns the answers of a healthy engine to each of `count` requests.
 fn expected(count: usize) -> Vec<Value> {
     let mut healthy = env::Fleet::new();
     healthy.engine(&["--faster", "50"]);
@@ -52,7 +52,7 @@
         .collect()
 }
 
-/// Expects that question n, in order, gets the same complete answer as from a healthy engine.
+/// Expects that request n, in order, gets the same complete answer as from a healthy engine.
 fn expect_whole(asking: Vec<Asking>) {
     let answers: Vec<_> = asking
         .into_iter()
@@ -132,7 +132,7 @@
     expect_that!(answer.map(|a| a["text"].clone()), ok(eq(&expected(1)[0])));
 }
 
-/// More questions arrive than the endpoints can take. Each refused one gets a retry delay, and
+/// More requests arrive than the endpoints can take. Each refused one gets a retry delay, and
 /// none of those has reached an endpoint.
 #[gtest]
 fn refused_never_reached_an_endpoint() {
@@ -166,7 +166,7 @@
     );
 }
 
-/// The only endpoint aborts every answer after some tokens. The question reached it and ran in
+/// The only endpoint aborts every answer after some tokens. The request reached it and ran in
 /// part, so the error must not claim that it did not run: a client would retry as if nothing
 /// had happened.
 #[gtest]
@@ -185,8 +185,8 @@
     }
 }
 
-/// Every engine fails for a while. Retries must remain a small fraction of the questions, or
-/// the retry load would keep the fleet down after the fault; once the fault is gone, questions
+/// Every engine fails for a while. Retries must remain a small fraction of the requests, or
+/// the retry load would keep the fleet down after the fault; once the fault is gone, requests
 /// are answered again.
 #[gtest]
 fn retry_storm_bounded() {
@@ -195,26 +195,26 @@
         fleet.engine_fault(engine, &json!({"refuse": true}));
     }
     let before = arrived(&fleet, 0) + arrived(&fleet, 1);
-    let questions = 300;
-    for n in 0..questions {
+    let requests = 300;
+    for n in 0..requests {
         let _ = fleet.caller(n % 3, "Ask", &long(n));
     }
     let attempts = arrived(&fleet, 0) + arrived(&fleet, 1) - before;
     // Each of six gateway threads starts with a retry budget of 20, and nothing succeeds.
-    expect_that!(attempts, le(questions as u64 + 6 * 20));
+    expect_that!(attempts, le(requests as u64 + 6 * 20));
     for engine in 0..2 {
         fleet.engine_fault(engine, &json!({}));
     }
     let ask = json!({"service": "recipes", "prompt": "after", "maxTokens": 2});
     for node in 0..3 {
-        env::until("questions are answered again", || {
+        env::until("requests are answered again", || {
             fleet.caller(node, "Ask", &ask).is_ok()
         });
     }
 }
 
 /// A caller requests a long streamed answer and does not read it. Only its own stream stops;
-/// other questions through the same node are answered.
+/// other requests through the same node are answered.
 #[gtest]
 fn slow_reader_alone_waits() {
     let mut fleet = env::Fleet::new();
@@ -254,7 +254,7 @@
     }
 }
 
-/// Batch work fills every endpoint when online questions arrive. They are answered while nearly
+/// Batch work fills every endpoint when online requests arrive. They are answered while nearly
 /// all of the batch work is still queued.
 #[gtest]
 fn burst_beside_batch() {
@@ -280,6 +280,6 @@
     let completed: u64 = (0..2)
         .map(|engine| fleet.engine_counts(engine)["completed"].as_u64().unwrap())
         .sum();
-    // If the questions had queued behind the items, 600 items would have completed first.
+    // If the requests had queued behind the items, 600 items would have completed first.
     expect_that!(completed, lt(12 + 100));
 }
--- a/tests/feed_fleet.rs
+++ b/tests/feed_fleet.rs
@@ -4,7 +4,7 @@
 #[path = "support/member.rs"]
 mod support;
 
-use std::cell::{Cell as Flag, RefCell};
+use std::cell::{Cell as StdCell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use auburnspoke::edge::count::Count;
 use auburnspoke::edge::learn::{Update, follow};
 use auburnspoke::feed::reader::{Reader, Topic};
-use auburnspoke::feed::source::{Ask, Setup, Source};
+use auburnspoke::feed::source::{Setup, Source, Transport};
 use auburnspoke::member::{Member, View};
 use auburnspoke::name::Name;
 use auburnspoke::snapshot::Cell;
@@ -43,7 +43,7 @@
 struct Store {
     log: RefCell<Vec<Change>>,
     changed: Notify,
-    calls: Flag<usize>,
+    calls: StdCell<usize>,
     /// Numbers of the nodes that it refuses.
     refused: RefCell<Vec<usize>>,
 }
@@ -144,8 +144,8 @@
 #[derive(Clone)]
 struct Links(Rc<Net>);
 
-impl Ask for Links {
-    async fn ask(&self, link: &Name, query: Query, wait: Duration) -> Option<Reply> {
+impl Transport for Links {
+    async fn query(&self, link: &Name, query: Query, wait: Duration) -> Option<Reply> {
         let Query::Changes { table, after } = query else {
             return None;
         };
@@ -176,7 +176,7 @@
     net: Rc<Net>,
     clock: Clock,
     /// The version that each node has.
-    versions: Vec<Rc<Flag<u64>>>,
+    versions: Vec<Rc<StdCell<u64>>>,
 }
 
 fn member(at: usize) -> Member {
@@ -219,7 +219,7 @@
                 count: Count::default(),
             };
             let source = Source::new(client, Links(Rc::clone(&net)), setup);
-            let version = Rc::new(Flag::new(0));
+            let version = Rc::new(StdCell::new(0));
             versions.push(Rc::clone(&version));
             let following = follow(source, TABLE, READ_INTERVAL, move |update| match update {
                 Update::Changes(changes) => version.set(changes.version),
--- a/tests/feed_source.rs
+++ b/tests/feed_source.rs
@@ -13,7 +13,7 @@
 use auburnspoke::clock::Clock;
 use auburnspoke::edge::count::Count;
 use auburnspoke::feed::Answer;
-use auburnspoke::feed::source::{Ask, Setup, Source};
+use auburnspoke::feed::source::{Setup, Source, Transport};
 use auburnspoke::member::{Member, View};
 use auburnspoke::name::Name;
 use auburnspoke::snapshot::Cell;
@@ -50,8 +50,8 @@
     asked: Rc<RefCell<Vec<Name>>>,
 }
 
-impl Ask for Readers {
-    async fn ask(&self, link: &Name, _: Query, _: Duration) -> Option<Reply> {
+impl Transport for Readers {
+    async fn query(&self, link: &Name, _: Query, _: Duration) -> Option<Reply> {
         self.asked.borrow_mut().push(link.clone());
         self.answers.borrow_mut().pop_front().flatten()
     }
--- a/tests/leave_phase.rs
+++ b/tests/leave_phase.rs
@@ -53,9 +53,9 @@
         done.find(|(_, a)| *a == action).map(|(at, _)| *at)
     }
 
-    fn ending(&self) -> Option<(u64, Summary)> {
+    fn summary(&self) -> Option<(u64, Summary)> {
         self.done.iter().find_map(|(at, action)| match action {
-            Action::Exit(ending) => Some((*at, *ending)),
+            Action::Exit(summary) => Some((*at, *summary)),
             _ => None,
         })
     }
@@ -78,7 +78,7 @@
     );
     node.run(60);
     expect_that!(node.when(Action::RejectRequests), some(eq(13_000)));
-    expect_that!(node.ending(), some(eq((13_000, CLEAN))));
+    expect_that!(node.summary(), some(eq((13_000, CLEAN))));
     expect_that!(node.leave.phase(), eq(Phase::Ended));
 }
 
@@ -100,10 +100,10 @@
         node.work = work;
         node.input(Input::Stop);
         node.run(60);
-        expect_that!(node.ending(), none());
+        expect_that!(node.summary(), none());
         node.work = Work::default();
         node.run(1);
-        expect_that!(node.ending(), some(eq((60_100, CLEAN))));
+        expect_that!(node.summary(), some(eq((60_100, CLEAN))));
     }
 }
 
@@ -125,7 +125,7 @@
     expect_that!(node.when(Action::ReleaseChunks), some(eq(3_100)));
     node.work.chunks = 0;
     node.run(30);
-    expect_that!(node.ending(), some(eq((13_000, CLEAN))));
+    expect_that!(node.summary(), some(eq((13_000, CLEAN))));
 }
 
 /// Items do not complete in time, as at an endpoint that hangs.
@@ -155,12 +155,12 @@
         .iter()
         .filter(|(_, a)| *a == Action::ReleaseChunks);
     expect_that!(tries.count(), all![gt(10), lt(25)]);
-    let ending = Summary {
+    let summary = Summary {
         aborted: 0,
         chunks: 3,
     };
-    expect_that!(node.ending(), some(eq((33_000, ending))));
-    expect_that!(ending.is_clean(), eq(true));
+    expect_that!(node.summary(), some(eq((33_000, summary))));
+    expect_that!(summary.is_clean(), eq(true));
 }
 
 /// The platform repeats SIGTERM every few seconds. A second one must neither
@@ -176,7 +176,7 @@
     expect_that!(node.done.len(), eq(4));
     node.work.requests = 0;
     node.run(1);
-    expect_that!(node.ending(), some(eq((20_100, CLEAN))));
+    expect_that!(node.summary(), some(eq((20_100, CLEAN))));
 }
 
 /// An operator presses Ctrl-C twice to skip the wait.
@@ -189,10 +189,10 @@
     node.input(Input::ForceStop);
     node.run(3);
     expect_that!(node.when(Action::AbortAll), some(eq(1_100)));
-    let (at, ending) = node.ending().unwrap();
+    let (at, summary) = node.summary().unwrap();
     expect_that!(at, eq(2_100));
-    expect_that!(ending.aborted, eq(2));
-    expect_that!(ending.is_clean(), eq(false));
+    expect_that!(summary.aborted, eq(2));
+    expect_that!(summary.is_clean(), eq(false));
 }
 
 /// SIGTERM arrives before the node serves. The node was never announced, so it
@@ -215,11 +215,11 @@
     node.input(Input::Stop);
     node.run(130);
     expect_that!(node.when(Action::AbortAll), some(eq(120_000)));
-    let ending = Summary {
+    let summary = Summary {
         aborted: 1,
         chunks: 0,
     };
-    expect_that!(node.ending(), some(eq((121_000, ending))));
+    expect_that!(node.summary(), some(eq((121_000, summary))));
 }
 
 /// The process is paused during its shutdown and resumes after every deadline has
@@ -231,5 +231,5 @@
     node.now += Duration::from_secs(60);
     node.run(1);
     expect_that!(node.when(Action::RejectRequests), some(eq(60_100)));
-    expect_that!(node.ending(), some(eq((60_100, CLEAN))));
+    expect_that!(node.summary(), some(eq((60_100, CLEAN))));
 }
--- a/tests/member/net.rs
+++ b/tests/member/net.rs
@@ -176,7 +176,7 @@
             boot: 0,
             incarnation: 0,
             in_force: 0,
-            heard: 0,
+            committed: 0,
         };
         let record = Record {
             member: about,
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -8,7 +8,7 @@
 
 #[gtest]
 fn ask_through_every_node() {
-    // Each node must answer a question, whichever node runs the engine's dispatcher.
+    // Each node must answer a request, whichever node runs the engine's dispatcher.
     let mut fleet = env::Fleet::new();
     fleet.engine(&["--faster", "20"]);
     fleet.node("zone-0").node("zone-1").node("zone-2");
--- a/tests/placement_http.rs
+++ b/tests/placement_http.rs
@@ -142,7 +142,7 @@
     actix_rt::System::new().block_on(async {
         let (checking, plain) = (Engine::start(true), Engine::start(false));
         let clock = Clock::start();
-        let force = InForce {
+        let in_force = InForce {
             document: Arc::new(document(&[&checking, &plain])),
             until: Time::MAX,
         };
@@ -151,8 +151,8 @@
         let elector = Elector::new(platform.clone(), clock, setting);
         actix_rt::spawn(elector.clone().run());
         elector.contend(true);
-        let force = Arc::new(Cell::new(force));
-        let placer = Placer::new("muscat".into(), elector.clone(), platform, clock, force);
+        let in_force = Arc::new(Cell::new(in_force));
+        let placer = Placer::new("muscat".into(), elector.clone(), platform, clock, in_force);
         actix_rt::spawn(placer.run());
 
         let wanted = vec![load("2")];
--- a/tests/rpc_bad_input.rs
+++ b/tests/rpc_bad_input.rs
@@ -47,7 +47,7 @@
 }
 
 /// Sends each body and checks that it is refused as not run, that no endpoint received a
-/// request, and that a valid question is still answered.
+/// request, and that a valid request is still answered.
 fn check(fleet: &Fleet, all: Vec<Bad>) {
     let address = fleet.nodes[0].address("callers");
     for bad in all {
@@ -266,7 +266,7 @@
 
 #[gtest]
 fn deadline_of_settings() {
-    // A caller sets a distant deadline. Without the configured limit its question could outlast
+    // A caller sets a distant deadline. Without the configured limit its request could outlast
     // the longest planned shutdown, which would then abort it.
     let more = "[timeouts]\nrequest = \"300ms\"\nconnect = \"100ms\"\n";
     let fleet = fleet_with(more, &[]);
--- a/tests/wire_control.rs
+++ b/tests/wire_control.rs
@@ -48,7 +48,7 @@
         boot: u64::MAX,
         incarnation: 1,
         in_force: 2,
-        heard: 3,
+        committed: 3,
     };
     Frame {
         head,
--- a/tests/wire_traffic.rs
+++ b/tests/wire_traffic.rs
@@ -41,7 +41,7 @@
 }
 
 /// A node of another version, a foreign or a faulty program connects to a node's link and sends
-/// invalid frames. The node must close that connection and still answer a question.
+/// invalid frames. The node must close that connection and still answer a request.
 #[gtest]
 fn link_broken_frames() {
     let mut fleet = env::Fleet::new();
