--- a/src/dispatch/queue.rs
+++ b/src/dispatch/queue.rs
@@ -15,9 +15,9 @@
 mod admit;
 
 /// Minimum retry delay of a refused request.
-const MIN_RETRY: Duration = Duration::from_millis(50);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Retry delay of requests for a closed endpoint.
-const CLOSED_RETRY: Duration = Duration::from_secs(2);
+const CLOSED_RETRY_DELAY: Duration = Duration::from_secs(2);
 
 /// A request that runs at the endpoint.
 #[derive(Clone, Debug)]
@@ -249,7 +249,7 @@
         self.tolerance = Tolerance::new(setting.latency_weight);
         if setting.closed {
             // Refused at once, so that the requesters can retry elsewhere.
-            self.refuse_waiting(Reason::NoEndpoint, CLOSED_RETRY, actions);
+            self.refuse_waiting(Reason::NoEndpoint, CLOSED_RETRY_DELAY, actions);
         }
     }
 
@@ -278,20 +278,20 @@
 
     /// Abandons what runs and refuses what waits, so that both can be retried elsewhere.
     fn abandon_all(&mut self, now: Time, actions: &mut Vec<Action>) {
-        let wait = self.health.retry_after(now).unwrap_or(MIN_RETRY);
+        let retry_after = self.health.retry_after(now).unwrap_or(MIN_RETRY_DELAY);
         for (id, _) in std::mem::take(&mut self.runs) {
-            let refusal = Refusal::new(Reason::EndpointFailed).after(wait);
+            let refusal = Refusal::new(Reason::EndpointFailed).after(retry_after);
             actions.push(Action::Abandon { id, refusal });
         }
         self.count = Count::default();
         self.estimator.idle();
-        self.refuse_waiting(Reason::NoEndpoint, wait, actions);
+        self.refuse_waiting(Reason::NoEndpoint, retry_after, actions);
     }
 
-    fn refuse_waiting(&mut self, reason: Reason, wait: Duration, actions: &mut Vec<Action>) {
+    fn refuse_waiting(&mut self, reason: Reason, retry_after: Duration, actions: &mut Vec<Action>) {
         let online = self.online.drain_where(|_| true);
         for entry in online.into_iter().chain(self.batch.drain_where(|_| true)) {
-            drop_entry(&entry, Refusal::new(reason).after(wait), actions);
+            drop_entry(&entry, Refusal::new(reason).after(retry_after), actions);
         }
     }
 
--- a/src/dispatch/queue/admit.rs
+++ b/src/dispatch/queue/admit.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{Action, Class, Count, Id, MIN_RETRY, Policy, Queue, Run, State, len};
+use super::{Action, Class, Count, Id, MIN_RETRY_DELAY, Policy, Queue, Run, State, len};
 use crate::clock::Time;
 use crate::dispatch::Offer;
 use crate::dispatch::backlog::Entry;
@@ -35,23 +35,23 @@
     /// Returns the refusal of an offer that can't be accepted.
     pub(super) fn refusal(&mut self, now: Time, offer: &Offer) -> Option<Refusal> {
         if self.setting.closed {
-            return Some(Refusal::new(Reason::NoEndpoint).after(super::CLOSED_RETRY));
+            return Some(Refusal::new(Reason::NoEndpoint).after(super::CLOSED_RETRY_DELAY));
         }
         self.health.state(now);
         if let Some(wait) = self.health.retry_after(now) {
             return Some(Refusal::new(Reason::NoEndpoint).after(wait));
         }
         if offer.deadline <= now {
-            return Some(Refusal::new(Reason::Deadline).after(MIN_RETRY));
+            return Some(Refusal::new(Reason::Deadline).after(MIN_RETRY_DELAY));
         }
         if offer.class == Class::Online {
             let crowded = self.count.online_prefilling + len(self.online.len()) >= SPILL_THRESHOLD;
             if offer.spills && offer.max_tokens > 0 && crowded {
-                return Some(Refusal::new(Reason::Overloaded).after(MIN_RETRY));
+                return Some(Refusal::new(Reason::Overloaded).after(MIN_RETRY_DELAY));
             }
             let wait = self.expected_wait();
             if now + wait > offer.deadline {
-                return Some(Refusal::new(Reason::Overloaded).after(wait.max(MIN_RETRY)));
+                return Some(Refusal::new(Reason::Overloaded).after(wait.max(MIN_RETRY_DELAY)));
             }
         }
         None
@@ -68,7 +68,7 @@
 
     /// Retry delay of a refused request: the time until the waiting ones have started.
     pub(super) fn retry_after(&self) -> Duration {
-        self.expected_wait().max(MIN_RETRY)
+        self.expected_wait().max(MIN_RETRY_DELAY)
     }
 
     /// Number of batch items that would be accepted now.
--- a/src/edge/relay.rs
+++ b/src/edge/relay.rs
@@ -51,7 +51,8 @@
 /// The same limit between events, which normally arrive every 20 ms. An answer is on time while
 /// no pause exceeds 400 ms, and starting at the next endpoint takes about 50 ms.
 const EVENT_TIMEOUT: Duration = Duration::from_millis(280);
-/// Part of the goal for the first event that is reserved for the time after admission.
+/// Part of the route's latency goal that is reserved for the time between admission and the first
+/// event. The rest of the goal limits the wait for a slot.
 const START_RESERVE: Duration = Duration::from_millis(70);
 /// Capacity of the channel that buffers an answer for a slow caller.
 const PIECE_BUFFER: usize = 16;
--- a/src/edge/relay/admit.rs
+++ b/src/edge/relay/admit.rs
@@ -108,7 +108,7 @@
     }
 
     /// Rejects a request of an organisation that is over its rate limit.
-    pub(super) fn reject_over_limit(mut self, wait: Duration) {
+    pub(super) fn reject_over_limit(mut self, retry_after: Duration) {
         let why = "over_limit";
         let organisation = self.call.organisation.as_ref();
         let limit = organisation.and_then(|it| it.rate);
@@ -121,7 +121,7 @@
             limit.map(|it| it.per_second),
             limit.map(|it| it.burst),
             self.call.version,
-            wait.as_millis(),
+            retry_after.as_millis(),
         );
         self.node.count.refuse(why);
         if let Some(organisation) = organisation {
@@ -130,7 +130,7 @@
         let mut response = call::refuse(
             StatusCode::TOO_MANY_REQUESTS,
             "not run; your organisation is over its rate limit, retry later",
-            wait,
+            retry_after,
         );
         self.finish_head(response.headers_mut());
         if let Some(head) = self.head.take() {
--- a/src/job/lane.rs
+++ b/src/job/lane.rs
@@ -1,8 +1,8 @@
 //! A lane: a range of consecutive chunks of one job, stored in one row.
 //!
-//! Every change of a chunk is conditional on the version of its lane's row, so that of two holders
-//! which both consider themselves the owner, one finds the row changed. Each change is recognisable
-//! in the row afterwards, which resolves lost answers.
+//! Every change of a chunk is conditional on the version of its lane's row. If two sessions both
+//! consider themselves the holder of a chunk, one of them finds the row changed. When the answer to
+//! a change is lost, the row shows whether the change was made.
 
 use serde::{Deserialize, Serialize};
 
--- a/src/limit/limiter.rs
+++ b/src/limit/limiter.rs
@@ -11,8 +11,8 @@
 
 /// Burst of a share, in seconds of its rate.
 const BURST_SECONDS: f64 = 1.0;
-/// Minimum delay before a refused caller should retry.
-const MIN_WAIT: Duration = Duration::from_millis(50);
+/// Minimum retry delay of a refused caller.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Idle time after which an organisation is evicted.
 const ACCOUNT_TTL: Duration = Duration::from_secs(30);
 /// Weight of the newest interval in the moving average of the reported rate.
@@ -194,8 +194,8 @@
     }
 }
 
-fn refusal(message: &str, wait: Duration) -> Refusal {
+fn refusal(message: &str, retry_after: Duration) -> Refusal {
     Refusal::new(Reason::Limited)
-        .after(wait.max(MIN_WAIT))
+        .after(retry_after.max(MIN_RETRY_DELAY))
         .with_message(message)
 }
--- a/src/member/gossip.rs
+++ b/src/member/gossip.rs
@@ -148,20 +148,27 @@
     me: Record,
     rng: ChaCha8Rng,
     entries: BTreeMap<Name, Entry>,
-    prints: BTreeMap<u64, Name>,
+    /// Names by the fingerprint of the record.
+    by_fingerprint: BTreeMap<u64, Name>,
     seeds: Vec<SocketAddr>,
+    /// Control addresses in the platform's last list of VMs.
     roster: Vec<SocketAddr>,
     /// Addresses of the last list to which no introduction was sent yet.
     uncontacted: Vec<SocketAddr>,
     prober: Prober,
     broadcasts: Queue,
+    /// Version of each note and the time of its receipt, by topic and key.
     notes: BTreeMap<(u8, Name), (u64, Time)>,
+    /// The newest configuration version known to be committed.
     committed: u64,
     conflict: Option<Conflict>,
     replaced: bool,
     last_step: Time,
-    last_heard: Time,
+    /// Time of the last datagram, or of the end of this process's last pause.
+    last_contact: Time,
+    /// Bytes that may be sent now, refilled at a constant rate.
     budget: u64,
+    /// The same for direct messages.
     direct_budget: u64,
     due: Due,
 }
@@ -182,7 +189,7 @@
             me,
             rng: ChaCha8Rng::seed_from_u64(boot),
             entries: BTreeMap::new(),
-            prints: BTreeMap::new(),
+            by_fingerprint: BTreeMap::new(),
             seeds,
             roster: Vec::new(),
             uncontacted: Vec::new(),
@@ -192,7 +199,7 @@
             conflict: None,
             replaced: false,
             last_step: now,
-            last_heard: now,
+            last_contact: now,
             budget: tuning.burst,
             direct_budget: tuning.direct_burst,
             due: Due {
--- a/src/member/gossip/learn.rs
+++ b/src/member/gossip/learn.rs
@@ -62,7 +62,8 @@
             record,
             control,
         };
-        self.prints.insert(entry.record.fingerprint(), name.clone());
+        self.by_fingerprint
+            .insert(entry.record.fingerprint(), name.clone());
         self.entries.insert(name.clone(), entry);
         if before != Some(state) {
             let name = name.clone();
@@ -190,7 +191,7 @@
             let print = print
                 .iter()
                 .fold(0, |sum, byte| sum << 8 | u64::from(*byte));
-            let Some(name) = self.prints.get(&print).cloned() else {
+            let Some(name) = self.by_fingerprint.get(&print).cloned() else {
                 continue;
             };
             let boot = self.entries.get(&name).map(|entry| entry.record.boot);
--- a/src/member/gossip/receive.rs
+++ b/src/member/gossip/receive.rs
@@ -11,13 +11,13 @@
 
 /// The stored record of a sender compared with the header of its datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Standing {
+enum Status {
     /// The record matches the header.
     Known,
     /// Unknown, or known only from an earlier process or incarnation.
     New,
     /// Suspect, dead, or stored with a higher incarnation than in the header.
-    Doubted,
+    Disputed,
 }
 
 impl Gossip {
@@ -37,7 +37,7 @@
             self.handle_name_conflict(source, &head, actions);
             return;
         }
-        self.last_heard = now;
+        self.last_contact = now;
         if self.learn_committed(head.committed.max(head.in_force)) {
             actions.push(Action::Committed(self.committed));
         }
@@ -51,7 +51,7 @@
         // A node that was declared dead without noticing keeps sending stale
         // suspicions. They are ignored until it has refuted its own death, which
         // the answer below reports to it.
-        let declared_dead = self.standing(&head) == Standing::Doubted && self.is_dead(&head.from);
+        let declared_dead = self.status(&head) == Status::Disputed && self.is_dead(&head.from);
         let mut refuted = false;
         for update in updates {
             let own = matches!(&update, Update::Record(r) if r.member.name == head.from);
@@ -71,17 +71,17 @@
         matches!(update, Update::Record(record) if record.member.name == self.me.member.name)
     }
 
-    fn standing(&self, head: &Head) -> Standing {
+    fn status(&self, head: &Head) -> Status {
         let Some(entry) = self.entries.get(&head.from) else {
-            return Standing::New;
+            return Status::New;
         };
         let known = (entry.record.member.incarnation, entry.record.boot);
         let claimed = (head.incarnation, head.boot);
-        let doubted = matches!(entry.record.member.state, State::Suspect | State::Dead);
+        let disputed = matches!(entry.record.member.state, State::Suspect | State::Dead);
         match claimed.cmp(&known) {
-            std::cmp::Ordering::Greater => Standing::New,
-            std::cmp::Ordering::Equal if !doubted => Standing::Known,
-            _ => Standing::Doubted,
+            std::cmp::Ordering::Greater => Status::New,
+            std::cmp::Ordering::Equal if !disputed => Status::Known,
+            _ => Status::Disputed,
         }
     }
 
@@ -152,15 +152,15 @@
         refuted: bool,
         actions: &mut Vec<Action>,
     ) {
-        let standing = self.standing(head);
-        if standing == Standing::New {
+        let status = self.status(head);
+        if status == Status::New {
             self.request_sync(now, source, actions);
         }
         let mut first = Vec::new();
         if refuted {
             first.push(Update::Record(self.me.clone()));
         }
-        if standing == Standing::Doubted
+        if status == Status::Disputed
             && let Some(entry) = self.entries.get(&head.from)
         {
             first.push(Update::Record(entry.record.clone()));
--- a/src/member/gossip/schedule.rs
+++ b/src/member/gossip/schedule.rs
@@ -26,7 +26,7 @@
         }
         self.prober.reset();
         self.broadcasts.drop_suspicions();
-        self.last_heard = now;
+        self.last_contact = now;
         self.due.probe = now + self.tuning.probe_interval;
         for entry in self.entries.values_mut() {
             entry.deadline = entry.deadline.map(|deadline| deadline + gap);
@@ -118,8 +118,8 @@
         // A node that receives nothing has lost its own network. Suspecting the
         // other members one by one would only force all of them to refute it.
         let isolation = self.tuning.isolation_timeout(self.live_members());
-        let silent = self.last_heard < probe.sent_at;
-        if silent && now.since(self.last_heard) < isolation {
+        let silent = self.last_contact < probe.sent_at;
+        if silent && now.since(self.last_contact) < isolation {
             return;
         }
         self.suspect(now, &probe.name, actions);
@@ -143,7 +143,8 @@
         });
         if self.entries.len() != before {
             let entries = &self.entries;
-            self.prints.retain(|_, name| entries.contains_key(name));
+            self.by_fingerprint
+                .retain(|_, name| entries.contains_key(name));
             actions.push(Action::Publish);
         }
         self.prober.expire(now, self.tuning.probe_interval);
--- a/src/once.rs
+++ b/src/once.rs
@@ -24,7 +24,7 @@
 pub use group::{Group, Status, Step};
 
 /// Retry delay after the platform's answer was lost and could not be resolved.
-const LOST_ANSWER_DELAY: Duration = Duration::from_secs(1);
+const LOST_ANSWER_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Idempotency key of a request that must run at most once.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -128,7 +128,7 @@
             Status::Exists => Err(Refusal::new(Reason::AlreadyRun)),
             Status::Refused(wait) => Err(Refusal::new(Reason::Platform).after(wait)),
             Status::Unknown => Err(Refusal::new(Reason::Platform)
-                .after(LOST_ANSWER_DELAY)
+                .after(LOST_ANSWER_RETRY_DELAY)
                 .with_message(
                     "the platform's answer was lost; the request was not run, but its key may be used up",
                 )),
--- a/src/permit.rs
+++ b/src/permit.rs
@@ -54,7 +54,7 @@
 /// Interval between renewals of held permits, which expire after 1.7 s.
 const RENEW_INTERVAL: Duration = Duration::from_millis(400);
 /// Retry delay when no pool is reachable and no endpoint is known.
-const NO_ENDPOINT_RETRY: Duration = Duration::from_millis(300);
+const NO_ENDPOINT_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// Why there is no permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -274,7 +274,7 @@
         // The sender is dropped only with the broker.
         let granted = answer
             .await
-            .unwrap_or(Err(Refusal::NoEndpoint(NO_ENDPOINT_RETRY)))
+            .unwrap_or(Err(Refusal::NoEndpoint(NO_ENDPOINT_RETRY_DELAY)))
             .inspect_err(|_| withdraw.done = true)?;
         withdraw.done = true;
         let stop = Rc::new(Notify::new());
@@ -378,7 +378,9 @@
         if let Some(waiting) = all.remove(&seq) {
             self.send_release(from, seq, &waiting.pool, End::Left);
             // Fails only if the requester is gone.
-            let _ = waiting.reply.send(Err(Refusal::Busy(NO_ENDPOINT_RETRY)));
+            let _ = waiting
+                .reply
+                .send(Err(Refusal::Busy(NO_ENDPOINT_RETRY_DELAY)));
         }
     }
 
--- a/src/permit/count.rs
+++ b/src/permit/count.rs
@@ -1,6 +1,6 @@
 //! Counting of requests of organisations that have a limit.
 //!
-//! The coordinator of the organisation's shard is asked while the slot is acquired, in
+//! The coordinator of the organisation's shard is queried while the slot is acquired, in
 //! datagrams of the same kind, so counting adds no latency. A coordinator that does not
 //! answer is skipped like the owner of a pool. If the next ones do not answer either,
 //! this node enforces its own share of the limit.
--- a/src/permit/fallback.rs
+++ b/src/permit/fallback.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::{Broker, Granted, NO_ENDPOINT_RETRY, Refusal, hash};
+use super::{Broker, Granted, NO_ENDPOINT_RETRY_DELAY, Refusal, hash};
 use crate::catalog::Endpoint;
 use crate::clock::Time;
 use crate::event;
@@ -22,12 +22,12 @@
         address: SocketAddr,
     ) -> Option<Arc<Endpoint>> {
         /// Age up to which a catalog is fresh. Its source confirms it about every second.
-        const FRESH: Duration = Duration::from_millis(2_500);
+        const MAX_FRESH_AGE: Duration = Duration::from_millis(2_500);
         let catalog = self.catalog.read();
         if let Some(endpoint) = catalog.endpoints.get(id) {
             return endpoint.ready.then(|| Arc::clone(endpoint));
         }
-        if now.since(catalog.confirmed) < FRESH {
+        if now.since(catalog.confirmed) < MAX_FRESH_AGE {
             return None;
         }
         Some(Arc::new(Endpoint {
@@ -73,7 +73,7 @@
                 endpoint: Arc::clone(endpoint),
                 owner: None,
             }),
-            None => Err(Refusal::NoEndpoint(NO_ENDPOINT_RETRY)),
+            None => Err(Refusal::NoEndpoint(NO_ENDPOINT_RETRY_DELAY)),
         };
         // Fails only if the requester is gone.
         let _ = waiting.reply.send(result);
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -48,7 +48,7 @@
 /// small VM's CPU.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
 /// Interval at which a stop is resent until the run ends, since datagrams get lost.
-const STOP_RETRY: Duration = Duration::from_millis(25);
+const STOP_RESEND_INTERVAL: Duration = Duration::from_millis(25);
 /// Time after which the slot of a run that did not stop counts as used again. A
 /// stopped run usually ends within a few milliseconds.
 const STOP_TIMEOUT: Duration = Duration::from_millis(200);
@@ -66,9 +66,9 @@
 const MAX_WAITING: usize = 4_096;
 /// Minimum retry delay. In less than a seventh of the time that a slot is held,
 /// almost no slots become free.
-const MIN_RETRY: Duration = Duration::from_millis(100);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Maximum retry delay, about the length of a load peak.
-const MAX_RETRY: Duration = Duration::from_secs(2);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Debug)]
 struct Permit {
@@ -198,7 +198,7 @@
             return;
         }
         if queue.len() >= MAX_WAITING {
-            actions.push(Action::Refuse(key, MAX_RETRY));
+            actions.push(Action::Refuse(key, MAX_RETRY_DELAY));
             return;
         }
         let waiting = Waiting {
--- a/src/pool/grant.rs
+++ b/src/pool/grant.rs
@@ -9,8 +9,8 @@
 use super::candidate::Candidate;
 use super::message::{Class, Requirements};
 use super::{
-    Action, Key, LEARNING_TIME, MAX_RETRY, MIN_RETRY, Permit, Pool, RESERVE_DIVISOR, STOP_RETRY,
-    Waiting,
+    Action, Key, LEARNING_TIME, MAX_RETRY_DELAY, MIN_RETRY_DELAY, Permit, Pool, RESERVE_DIVISOR,
+    STOP_RESEND_INTERVAL, Waiting,
 };
 use crate::clock::Time;
 use crate::name::Name;
@@ -30,7 +30,7 @@
         for (key, waiting) in waiting {
             if self.must_wait(now, &waiting.requirements) {
                 if now.since(waiting.arrived) > waiting.requirements.max_wait {
-                    actions.push(Action::Refuse(key, MIN_RETRY));
+                    actions.push(Action::Refuse(key, MIN_RETRY_DELAY));
                 } else {
                     self.online.push((key, waiting));
                 }
@@ -63,7 +63,7 @@
     pub(super) fn retry_after(&mut self, expected: Duration) -> Duration {
         self.refused = (self.refused + 1) % 16;
         let spread = self.mean_hold * self.refused / 16;
-        (expected + spread).clamp(MIN_RETRY, MAX_RETRY)
+        (expected + spread).clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY)
     }
 
     pub(super) fn serve_batch(&mut self, now: Time, actions: &mut Vec<Action>) {
@@ -103,7 +103,7 @@
             }
             if now.since(waiting.arrived) > waiting.requirements.max_wait {
                 // Another pool of the service may have room.
-                actions.push(Action::Refuse(key, MIN_RETRY));
+                actions.push(Action::Refuse(key, MIN_RETRY_DELAY));
                 continue;
             }
             self.batch.push((key, waiting));
@@ -256,7 +256,7 @@
     pub(super) fn resend_stops(&mut self, now: Time, actions: &mut Vec<Action>) {
         for (key, permit) in &mut self.permits {
             if let Some((_, last_sent)) = &mut permit.stopping
-                && now.since(*last_sent) >= STOP_RETRY
+                && now.since(*last_sent) >= STOP_RESEND_INTERVAL
             {
                 *last_sent = now;
                 actions.push(Action::Stop(*key));
--- a/src/quarantine.rs
+++ b/src/quarantine.rs
@@ -1,6 +1,6 @@
 //! Quarantine of requests that crash the endpoints that run them.
 //!
-//! Such a request is told apart from those that merely ran on the same endpoint at the time,
+//! Such a request is distinguished from those that merely ran on the same endpoint at the time,
 //! and is then refused until its quarantine ends.
 //!
 //! [`evidence`] decides which requests are to blame. [`detector`] acts on it on a single thread,
--- a/src/quarantine/detector.rs
+++ b/src/quarantine/detector.rs
@@ -32,7 +32,7 @@
 const STEP_INTERVAL: Duration = Duration::from_millis(100);
 /// How long an endpoint is watched after a run failed there.
 const WATCH_PERIOD: Duration = Duration::from_secs(5);
-/// Interval between checks of its entry.
+/// Interval between checks of a watched endpoint's catalog entry.
 const WATCH_INTERVAL: Duration = Duration::from_millis(200);
 /// Delay before the listener is probed again. A process that ends may close its listener
 /// slightly later than its connections.
--- a/src/quarantine/evidence.rs
+++ b/src/quarantine/evidence.rs
@@ -22,8 +22,8 @@
 const EARLY_LIMIT: Duration = Duration::from_secs(2);
 /// Delay between the last crash and a verdict, for other nodes' observations to arrive.
 const SETTLE_DELAY: Duration = Duration::from_millis(800);
-/// A request that completed within this time is not blamed: it was there by chance. A
-/// frequent request runs on many endpoints at once, and so also on those that crash.
+/// A request that completed within this time is not blamed for a crash. A frequent request
+/// runs on many endpoints at once, and so by chance also on those that crash.
 const COMPLETION_TTL: Duration = Duration::from_secs(30);
 /// Minimum interval between reports of a request's completion to other nodes.
 const COMPLETION_REPORT_INTERVAL: Duration = Duration::from_secs(1);
@@ -31,6 +31,7 @@
 const CRASH_TTL: Duration = Duration::from_secs(600);
 /// Duration of a first quarantine; each further one of the same request doubles it.
 const FIRST_TERM: Duration = Duration::from_secs(900);
+/// Limit on these doublings.
 const MAX_DOUBLINGS: u32 = 5;
 /// Limits on the crashes, the requests of one crash, and the verdicts that are remembered.
 const MAX_CRASHES: usize = 256;
--- a/tests/member/net.rs
+++ b/tests/member/net.rs
@@ -117,17 +117,17 @@
     }
 
     pub fn start_boot(&mut self, me: Member, boot: u64, seeds: &[usize]) {
-        let place: SocketAddr = me.control.parse().unwrap();
+        let own_address: SocketAddr = me.control.parse().unwrap();
         let seeds = seeds.iter().map(|at| address(*at)).collect();
         let gossip = Gossip::new(self.now, me, boot, seeds, Tuning::default());
         let node = Node {
             gossip,
-            address: place,
+            address: own_address,
             paused: false,
             actions: Vec::new(),
             sent: Traffic::default(),
         };
-        self.nodes.insert(place, node);
+        self.nodes.insert(own_address, node);
     }
 
     pub fn kill(&mut self, at: usize) {
@@ -146,9 +146,9 @@
         self.input_at(address(at), input);
     }
 
-    fn input_at(&mut self, place: SocketAddr, input: Input) {
+    fn input_at(&mut self, address: SocketAddr, input: Input) {
         let now = self.now;
-        let Some(node) = self.nodes.get_mut(&place) else {
+        let Some(node) = self.nodes.get_mut(&address) else {
             return;
         };
         let mut packets = Vec::new();
@@ -163,7 +163,7 @@
             }
         }
         for (to, bytes) in packets {
-            self.deliver(place, to, &bytes);
+            self.deliver(address, to, &bytes);
         }
     }
 
@@ -192,7 +192,7 @@
 
     /// Delivers bytes through the simulated network.
     pub fn deliver(&mut self, from: SocketAddr, to: SocketAddr, bytes: &[u8]) {
-        let group = |place| self.groups.get(&place).copied().unwrap_or_default();
+        let group = |address| self.groups.get(&address).copied().unwrap_or_default();
         if self.cut.contains(&(from, to)) || group(from) != group(to) {
             return;
         }
@@ -237,10 +237,10 @@
             }
         }
         self.now = end;
-        let places: Vec<SocketAddr> = self.nodes.keys().copied().collect();
-        for place in places {
-            if !self.nodes[&place].paused {
-                self.input_at(place, Input::Tick);
+        let addresses: Vec<SocketAddr> = self.nodes.keys().copied().collect();
+        for address in addresses {
+            if !self.nodes[&address].paused {
+                self.input_at(address, Input::Tick);
             }
         }
     }
--- a/tests/quarantine_explore/fleet.rs
+++ b/tests/quarantine_explore/fleet.rs
@@ -99,7 +99,7 @@
     cut_until: u64,
 }
 
-struct Place {
+struct Host {
     endpoint: Arc<Endpoint>,
     up: bool,
     back: u64,
@@ -109,7 +109,7 @@
 struct Run {
     node: usize,
     request: u64,
-    place: usize,
+    host: usize,
     key: Key,
     began: u64,
     ends: u64,
@@ -137,7 +137,7 @@
     rng: ChaCha8Rng,
     now: u64,
     nodes: Vec<Node>,
-    places: Vec<Place>,
+    hosts: Vec<Host>,
     pool: Pool,
     runs: Vec<Run>,
     waiting: BTreeMap<Key, Waiting>,
@@ -169,7 +169,7 @@
 
 impl Fleet {
     pub fn new(plan: Plan, seed: u64) -> Self {
-        let places = (0..plan.endpoints).map(|at| Place {
+        let hosts = (0..plan.endpoints).map(|at| Host {
             endpoint: endpoint(at, 0),
             up: true,
             back: 0,
@@ -179,7 +179,7 @@
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: 0,
             nodes: (0..plan.nodes).map(|_| Node::default()).collect(),
-            places: places.collect(),
+            hosts: hosts.collect(),
             pool: Pool::new(seed),
             runs: Vec::new(),
             waiting: BTreeMap::new(),
@@ -203,7 +203,7 @@
             self.send_requests();
             self.end_runs();
             self.restart_endpoints();
-            self.grant_places();
+            self.grant_slots();
             if self.now.is_multiple_of(STEP_INTERVAL_MS) {
                 self.reach_verdicts();
             }
@@ -224,18 +224,18 @@
     fn set_endpoints(&mut self) {
         let now = self.now;
         let known: Vec<Arc<Endpoint>> = self
-            .places
+            .hosts
             .iter()
-            .filter(|place| now < place.gone)
-            .map(|place| Arc::clone(&place.endpoint))
+            .filter(|host| now < host.gone)
+            .map(|host| Arc::clone(&host.endpoint))
             .collect();
         self.pool.set_endpoints(known.iter());
     }
 
     fn inject_faults(&mut self) {
         if self.chance(self.plan.crashes) {
-            let place = self.rng.random_range(0..self.places.len());
-            self.crash(place, None);
+            let host = self.rng.random_range(0..self.hosts.len());
+            self.crash(host, None);
         }
         if self.plan.restart == Some(self.now) {
             for node in &mut self.nodes {
@@ -387,7 +387,7 @@
         self.act(actions);
     }
 
-    fn grant_places(&mut self) {
+    fn grant_slots(&mut self) {
         let now = self.now;
         let late = self.waiting.iter().filter(|(_, it)| it.until <= now);
         let late: Vec<Key> = late.map(|(key, _)| *key).collect();
@@ -416,13 +416,13 @@
         let Some(waiting) = self.waiting.remove(&key) else {
             return;
         };
-        let place = self
-            .places
+        let host = self
+            .hosts
             .iter()
-            .position(|place| place.endpoint.id == endpoint.id && place.up);
+            .position(|host| host.endpoint.id == endpoint.id && host.up);
         let status = self.status(waiting.node, waiting.request);
         let stops = matches!(status, Status::Condemned | Status::Held(_));
-        let Some(place) = place.filter(|_| !stops) else {
+        let Some(host) = host.filter(|_| !stops) else {
             let end = if stops { End::Left } else { End::Failed };
             self.pool.release(time(self.now), key, end);
             if !stops {
@@ -447,7 +447,7 @@
         self.runs.push(Run {
             node: waiting.node,
             request: waiting.request,
-            place,
+            host,
             key,
             began: self.now,
             ends: self.now + length,
@@ -470,9 +470,9 @@
                     self.retry(&run);
                 }
                 RunEnd::Crash => {
-                    let place = run.place;
+                    let host = run.host;
                     self.runs.push(run);
-                    self.crash(place, Some(now));
+                    self.crash(host, Some(now));
                 }
             }
         }
@@ -494,10 +494,10 @@
     }
 
     fn observe(&mut self, run: &Run) {
-        let place = &self.places[run.place];
+        let host = &self.hosts[run.host];
         let crash = Crash {
-            endpoint: place.endpoint.id.clone(),
-            incarnation: place.endpoint.incarnation,
+            endpoint: host.endpoint.id.clone(),
+            incarnation: host.endpoint.incarnation,
         };
         // Without the check of its cause, each lost answer looks like a separate crash.
         let crash = match self.plan.without {
@@ -515,14 +515,14 @@
         self.nodes[run.node].evidence.update_blame(time(self.now));
     }
 
-    fn crash(&mut self, place: usize, by_killer: Option<u64>) {
-        if !self.places[place].up {
+    fn crash(&mut self, host: usize, by_killer: Option<u64>) {
+        if !self.hosts[host].up {
             return;
         }
-        self.places[place].up = false;
-        self.places[place].back = self.now + DOWN_MS;
-        self.places[place].gone = self.now + ENTRY_REMOVAL_MS;
-        let hit: Vec<Run> = self.runs.extract_if(.., |run| run.place == place).collect();
+        self.hosts[host].up = false;
+        self.hosts[host].back = self.now + DOWN_MS;
+        self.hosts[host].gone = self.now + ENTRY_REMOVAL_MS;
+        let hit: Vec<Run> = self.runs.extract_if(.., |run| run.host == host).collect();
         for run in &hit {
             if by_killer.is_some() && run.request < FIRST_HARMLESS && run.ends <= self.now {
                 self.crashed.entry(run.request).or_default().push(self.now);
@@ -544,7 +544,7 @@
 
     fn retry(&mut self, run: &Run) {
         if run.attempts > 1 && self.nodes[run.node].since <= run.began {
-            let avoid = vec![self.places[run.place].endpoint.id.clone()];
+            let avoid = vec![self.hosts[run.host].endpoint.id.clone()];
             self.acquire(run.node, run.request, run.attempts - 1, avoid);
         }
     }
@@ -552,9 +552,9 @@
     fn restart_endpoints(&mut self) {
         let now = self.now;
         let mut changed = false;
-        for (at, place) in self.places.iter_mut().enumerate() {
-            if !place.up && place.back <= now {
-                *place = Place {
+        for (at, host) in self.hosts.iter_mut().enumerate() {
+            if !host.up && host.back <= now {
+                *host = Host {
                     endpoint: endpoint(at, now),
                     up: true,
                     back: 0,
