--- a/src/edge/relay.rs
+++ b/src/edge/relay.rs
@@ -51,7 +51,8 @@
 /// The same limit between events, which normally arrive every 20 ms. An answer is on time while
 /// no pause exceeds 400 ms, and starting at the next endpoint takes about 50 ms.
 const EVENT_TIMEOUT: Duration = Duration::from_millis(280);
-/// Part of the goal for the first event that is reserved for the time after admission.
+/// Part of the route's latency goal that is reserved for the time between admission and the first
+/// event. The rest of the goal limits the wait for a slot.
 const START_RESERVE: Duration = Duration::from_millis(70);
 /// Capacity of the channel that buffers an answer for a slow caller.
 const PIECE_BUFFER: usize = 16;
@@ -163,24 +164,24 @@
     }
 
     async fn run(mut self) {
-        let ward = Rc::clone(&self.node.ward);
+        let detector = Rc::clone(&self.node.detector);
         let request = self.call.fingerprint;
         loop {
             let now = self.node.clock.now();
             let left = self.attempt.deadline().since(now);
-            if let Status::Held(wait) = ward.status(request) {
+            if let Status::Held(wait) = detector.status(request) {
                 sleep(wait.min(left)).await;
             }
             let left = self.attempt.deadline().since(self.node.clock.now());
-            let want = self.want(now, left);
+            let claim = self.claim(now, left);
             let admitted = tokio::select! {
                 biased;
-                () = ward.until_condemned(request) => return self.reject_condemned().await,
-                admitted = timeout(left, self.admit(want)) => admitted,
+                () = detector.until_condemned(request) => return self.reject_condemned().await,
+                admitted = timeout(left, self.admit(claim)) => admitted,
             };
             let permit = match admitted {
                 Ok(Ok(permit)) => permit,
-                Ok(Err(Denied::Place(refusal))) => return self.reject(refusal).await,
+                Ok(Err(Denied::Slot(refusal))) => return self.reject(refusal).await,
                 Ok(Err(Denied::Count(Denial::Over(until_room)))) => {
                     return self.reject_over_limit(until_room);
                 }
@@ -194,13 +195,13 @@
             let began = self.node.clock.now();
             let ended = tokio::select! {
                 biased;
-                () = ward.until_condemned(request) => return self.reject_condemned().await,
+                () = detector.until_condemned(request) => return self.reject_condemned().await,
                 ended = self.exchange(&permit) => ended,
             };
             let (next, why) = match ended {
                 Ended::Complete => {
                     permit.finish(End::Done);
-                    ward.completed(request);
+                    detector.completed(request);
                     return self.log_done(&endpoint);
                 }
                 Ended::Disconnected => return,
@@ -397,7 +398,7 @@
             ran: self.node.clock.now().since(began),
             why,
         };
-        match self.node.ward.investigate(endpoint, run).await {
+        match self.node.detector.investigate(endpoint, run).await {
             Finding::Crashed => End::Crashed,
             Finding::NotCrashed | Finding::Undecided => End::Error,
         }
--- a/src/edge/relay/admit.rs
+++ b/src/edge/relay/admit.rs
@@ -20,7 +20,7 @@
 /// Why a request was not admitted.
 pub(super) enum Denied {
     /// The pool granted no slot.
-    Place(Refusal),
+    Slot(Refusal),
     /// The organisation's rate limit is exceeded or could not be checked.
     Count(Denial),
 }
@@ -29,19 +29,19 @@
     /// Acquires a slot, and counts the request once against its organisation's rate limit. Both
     /// run concurrently, except for an organisation that was over its limit a moment ago, which
     /// must pass the limit first.
-    pub(super) async fn admit(&mut self, want: Claim) -> Result<Permit, Denied> {
-        let desk = Rc::clone(&self.node.desk);
+    pub(super) async fn admit(&mut self, claim: Claim) -> Result<Permit, Denied> {
+        let broker = Rc::clone(&self.node.broker);
         let limited = self.limited().filter(|_| self.token.is_none());
         let Some(limited) = limited else {
-            return desk.acquire(want).await.map_err(Denied::Place);
+            return broker.acquire(claim).await.map_err(Denied::Slot);
         };
-        if desk.was_over_limit(&limited) {
-            self.token = Some(desk.count(limited).await.map_err(Denied::Count)?);
-            return desk.acquire(want).await.map_err(Denied::Place);
+        if broker.was_over_limit(&limited) {
+            self.token = Some(broker.count(limited).await.map_err(Denied::Count)?);
+            return broker.acquire(claim).await.map_err(Denied::Slot);
         }
-        let count = desk.count(limited).map_err(Denied::Count);
-        let place = desk.acquire(want).map_err(Denied::Place);
-        let (token, permit) = try_join(count, place).await?;
+        let count = broker.count(limited).map_err(Denied::Count);
+        let permit = broker.acquire(claim).map_err(Denied::Slot);
+        let (token, permit) = try_join(count, permit).await?;
         self.token = Some(token);
         Ok(permit)
     }
@@ -62,7 +62,7 @@
         }
     }
 
-    pub(super) fn want(&self, now: Time, left: Duration) -> Claim {
+    pub(super) fn claim(&self, now: Time, left: Duration) -> Claim {
         let goal = self.call.arrived + self.call.route.goal;
         // A stream that has begun must be completed, so it may wait until the deadline. Any
         // other request is rejected with a retry delay once its latency goal can't be met.
@@ -90,7 +90,7 @@
     }
 
     fn is_suspect(&self) -> bool {
-        self.node.ward.status(self.call.fingerprint) != Status::Clear
+        self.node.detector.status(self.call.fingerprint) != Status::Clear
     }
 
     /// An organisation's own priority overrides that of its route.
@@ -108,7 +108,7 @@
     }
 
     /// Rejects a request of an organisation that is over its rate limit.
-    pub(super) fn reject_over_limit(mut self, wait: Duration) {
+    pub(super) fn reject_over_limit(mut self, retry_after: Duration) {
         let why = "over_limit";
         let organisation = self.call.organisation.as_ref();
         let limit = organisation.and_then(|it| it.rate);
@@ -121,7 +121,7 @@
             limit.map(|it| it.per_second),
             limit.map(|it| it.burst),
             self.call.version,
-            wait.as_millis(),
+            retry_after.as_millis(),
         );
         self.node.count.refuse(why);
         if let Some(organisation) = organisation {
@@ -130,7 +130,7 @@
         let mut response = call::refuse(
             StatusCode::TOO_MANY_REQUESTS,
             "not run; your organisation is over its rate limit, retry later",
-            wait,
+            retry_after,
         );
         self.finish_head(response.headers_mut());
         if let Some(head) = self.head.take() {
--- a/src/node/batch.rs
+++ b/src/node/batch.rs
@@ -111,12 +111,12 @@
         }
     }
 
-    /// Copies the tally of a runner, which is not shared between threads, into the counters for
+    /// Copies the statistics of a runner, which are not shared between threads, into the counters for
     /// the lifetime of its thread.
-    pub async fn follow(self, tally: Rc<std::cell::Cell<Stats>>) {
+    pub async fn follow(self, stats: Rc<std::cell::Cell<Stats>>) {
         let mut before = Stats::default();
         loop {
-            let now = tally.get();
+            let now = stats.get();
             self.add(before, now);
             before = now;
             actix_rt::time::sleep(COUNT_INTERVAL).await;
@@ -194,7 +194,7 @@
     }
 
     async fn execute(&self, mut request: Request) -> Outcome<Answer> {
-        // An item without a token limit gets that of its service, as a question does; otherwise
+        // An item without a token limit gets that of its service, as an online request does; otherwise
         // the endpoint would reject it, and every item of its job. Any other error in the item
         // is reported by the endpoint.
         if let Ok(config) = self.shared.config()
--- a/src/permit.rs
+++ b/src/permit.rs
@@ -54,7 +54,7 @@
 /// Interval between renewals of held permits, which expire after 1.7 s.
 const RENEW_INTERVAL: Duration = Duration::from_millis(400);
 /// Retry delay when no pool is reachable and no endpoint is known.
-const NO_ENDPOINT_RETRY: Duration = Duration::from_millis(300);
+const NO_ENDPOINT_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// Why there is no permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -65,7 +65,7 @@
     NoEndpoint(Duration),
 }
 
-/// A claim of a request on a slot of a service.
+/// A request's claim to a slot of a service.
 #[derive(Clone, Debug)]
 pub struct Claim {
     /// The service.
@@ -263,7 +263,7 @@
             started: now,
             attempts: Attempts::new(now),
         };
-        self.send_ask(now, seq, &mut waiting);
+        self.send_acquire(now, seq, &mut waiting);
         self.waiting.borrow_mut().insert(seq, waiting);
         let mut withdraw = Withdraw {
             broker: self,
@@ -274,7 +274,7 @@
         // The sender is dropped only with the broker.
         let granted = answer
             .await
-            .unwrap_or(Err(Refusal::NoEndpoint(NO_ENDPOINT_RETRY)))
+            .unwrap_or(Err(Refusal::NoEndpoint(NO_ENDPOINT_RETRY_DELAY)))
             .inspect_err(|_| withdraw.done = true)?;
         withdraw.done = true;
         let stop = Rc::new(Notify::new());
@@ -378,7 +378,9 @@
         if let Some(waiting) = all.remove(&seq) {
             self.send_release(from, seq, &waiting.pool, End::Left);
             // Fails only if the requester is gone.
-            let _ = waiting.reply.send(Err(Refusal::Busy(NO_ENDPOINT_RETRY)));
+            let _ = waiting
+                .reply
+                .send(Err(Refusal::Busy(NO_ENDPOINT_RETRY_DELAY)));
         }
     }
 
@@ -395,7 +397,7 @@
             self.send_release(from, seq, &waiting.pool, End::Left);
             waiting.claim.requirements.avoid.push(id.clone());
             waiting.attempts.unanswered = 0;
-            self.send_ask(now, seq, &mut waiting);
+            self.send_acquire(now, seq, &mut waiting);
             self.waiting.borrow_mut().insert(seq, waiting);
             return;
         };
@@ -426,7 +428,7 @@
             if due.give_up {
                 exhausted.push(*seq);
             } else {
-                self.send_ask(now, *seq, waiting);
+                self.send_acquire(now, *seq, waiting);
             }
         }
         for seq in exhausted {
--- a/src/quarantine/detector.rs
+++ b/src/quarantine/detector.rs
@@ -1,7 +1,7 @@
 //! One node's part in the quarantine: investigates failed runs, notifies other nodes, stores
 //! verdicts, and reports the status of each request.
 
-use std::cell::{Cell as Flag, RefCell};
+use std::cell::{Cell as StdCell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -32,7 +32,7 @@
 const STEP_INTERVAL: Duration = Duration::from_millis(100);
 /// How long an endpoint is watched after a run failed there.
 const WATCH_PERIOD: Duration = Duration::from_secs(5);
-/// Interval between checks of its entry.
+/// Interval between checks of a watched endpoint's catalog entry.
 const WATCH_INTERVAL: Duration = Duration::from_millis(200);
 /// Delay before the listener is probed again. A process that ends may close its listener
 /// slightly later than its connections.
@@ -93,8 +93,8 @@
     /// The rows in the store, with the end of each by the store's clock in milliseconds.
     rows: RefCell<BTreeMap<Fingerprint, u64>>,
     /// Time of the store's last answer, and its clock in that answer.
-    store_clock: Flag<Option<(Time, u64)>>,
-    watched: Flag<usize>,
+    store_clock: StdCell<Option<(Time, u64)>>,
+    watched: StdCell<usize>,
     /// Notified at each verdict.
     changed: Notify,
 }
@@ -107,8 +107,8 @@
             evidence: RefCell::default(),
             unsaved: RefCell::default(),
             rows: RefCell::default(),
-            store_clock: Flag::new(None),
-            watched: Flag::new(0),
+            store_clock: StdCell::new(None),
+            watched: StdCell::new(0),
             changed: Notify::new(),
         })
     }
@@ -363,7 +363,7 @@
 
     /// Applies an update of the stored verdicts.
     fn apply_update(&self, update: Update) {
-        let (rows, clock, said) = match update {
+        let (rows, clock, clock_read) = match update {
             Update::Snapshot(snapshot) => {
                 self.rows.borrow_mut().clear();
                 let rows = snapshot.rows.into_iter();
@@ -377,7 +377,7 @@
             }
             Update::Failed => return,
         };
-        self.store_clock.set(Some((said, clock)));
+        self.store_clock.set(Some((clock_read, clock)));
         for (key, value) in rows {
             self.apply_row(clock, &key, value.as_deref());
         }
@@ -421,12 +421,12 @@
         let Some(clock) = self.store_now() else {
             return;
         };
-        let grace = millis(ROW_RETENTION);
+        let retention = millis(ROW_RETENTION);
         let old = {
             let view = self.setup.view.read();
             let rows = self.rows.borrow();
             rows.iter()
-                .filter(|(_, until)| **until + grace < clock)
+                .filter(|(_, until)| **until + retention < clock)
                 .map(|(request, _)| *request)
                 .find(|request| view.rank(&request.to_string(), &self.setup.me) == 0)
         };
