--- a/src/placement.rs
+++ b/src/placement.rs
@@ -47,7 +47,8 @@
 /// Maximum number of reads started in one tick, which limits the traffic when a new
 /// holder starts or a zone is lost.
 const MAX_READS_PER_TICK: usize = 8;
-/// Minimum delay before admission is requested again from the weight store.
+/// Minimum delay before admission is requested again after the weight store refuses
+/// it or the store's answer is lost. A refusal may ask for a longer delay.
 const ADMIT_RETRY: Duration = Duration::from_secs(2);
 
 /// State of one endpoint.
